--- a/Makefile
+++ b/Makefile
@@ -4,6 +4,8 @@
 TOOLS := $(CURDIR)/.cache/tools
 GOLANGCI := $(TOOLS)/golangci-lint
 GOLANGCI_VERSION := v2.15.0
+GOPLS := $(TOOLS)/gopls
+GOPLS_VERSION := v0.23.0
 PACKAGES := ./... ./standins/...
 # Tests that are known to fail, one a line: test, cause, issue. They are passed over
 # and printed; see docs/DEVELOPERS.md.
@@ -51,6 +53,10 @@
 $(GOLANGCI):
 	GOWORK=off GOBIN=$(TOOLS) go install github.com/golangci/golangci-lint/v2/cmd/golangci-lint@$(GOLANGCI_VERSION)
 
+# The language server, used by hand for renames: gopls rename -w FILE:LINE:COLUMN NEW.
+$(GOPLS):
+	GOWORK=off GOBIN=$(TOOLS) go install golang.org/x/tools/gopls@$(GOPLS_VERSION)
+
 $(TOOLS)/protoc-gen-go:
 	GOWORK=off GOBIN=$(TOOLS) go install google.golang.org/protobuf/cmd/protoc-gen-go@v1.36.12
 
