--- a/cmd/crowbridged/hosted.go
+++ b/cmd/crowbridged/hosted.go
@@ -5,7 +5,7 @@
 	"fmt"
 	"os"
 
-	"github.com/crowbridge/crowbridge/internal/hosted"
+	"github.com/crowbridge/crowbridge/internal/platformdaemon"
 	"github.com/crowbridge/crowbridge/platform"
 	"github.com/sirupsen/logrus"
 	"github.com/urfave/cli/v3"
@@ -30,7 +30,7 @@
 			if err != nil {
 				return err
 			}
-			daemon, err := build(cmd, s, hosted.NewLogger(s.Daemon, s.Zone))
+			daemon, err := build(cmd, s, platformdaemon.NewLogger(s.Daemon, s.Zone))
 			if err != nil {
 				return err
 			}
@@ -47,13 +47,13 @@
 	return hostedCommand("hosted-entry", "serve callers on the users' platform",
 		func(cmd *cli.Command, s *platform.Settings, log *logrus.Entry) (runner, error) {
 			operators, err := parseOperators(cmd)
-			return hosted.NewEntryDaemon(s, operators, log), err
+			return platformdaemon.NewEntryDaemon(s, operators, log), err
 		}, operatorFlag())
 }
 
 func hostedAgentCommand() *cli.Command {
 	return hostedCommand("hosted-agent", "stand beside a model engine on the users' platform",
 		func(_ *cli.Command, s *platform.Settings, log *logrus.Entry) (runner, error) {
-			return hosted.NewAgentDaemon(s, log), nil
+			return platformdaemon.NewAgentDaemon(s, log), nil
 		})
 }
--- a/internal/hosted/directory.go
+++ b/internal/platformdaemon/directory.go
@@ -1,4 +1,4 @@
-package hosted
+package platformdaemon
 
 import (
 	"net/netip"
--- a/internal/hosted/log.go
+++ b/internal/platformdaemon/log.go
@@ -1,7 +1,7 @@
-// Package hosted runs crowbridge's daemons on the users' platform: it wires
+// Package platformdaemon runs crowbridge's daemons on the users' platform: it wires
 // the platform's adapter, the membership, the request pipeline and the expert
 // maps into the processes of entry VMs and of the VMs beside model engines.
-package hosted
+package platformdaemon
 
 import (
 	"io"
--- a/standins/bench/hosted.go
+++ b/standins/bench/hosted.go
@@ -12,7 +12,7 @@
 	"syscall"
 	"time"
 
-	"github.com/crowbridge/crowbridge/internal/hosted"
+	"github.com/crowbridge/crowbridge/internal/platformdaemon"
 	"github.com/crowbridge/crowbridge/platform"
 	standin "github.com/crowbridge/crowbridge/standins/platform"
 	"github.com/pkg/errors"
@@ -52,7 +52,7 @@
 	}
 	ctx, stop := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
-	go func() { ended <- hosted.NewEntryDaemon(settings, nil, discardLog()).Run(ctx) }()
+	go func() { ended <- platformdaemon.NewEntryDaemon(settings, nil, discardLog()).Run(ctx) }()
 	b := &hostedBench{
 		direct: address, through: settings.Callers,
 		client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: hostedWorkers}},
--- a/standins/bench/recovery.go
+++ b/standins/bench/recovery.go
@@ -10,7 +10,7 @@
 	"sync/atomic"
 	"time"
 
-	"github.com/crowbridge/crowbridge/internal/hosted"
+	"github.com/crowbridge/crowbridge/internal/platformdaemon"
 	"github.com/crowbridge/crowbridge/platform"
 	standin "github.com/crowbridge/crowbridge/standins/platform"
 	"github.com/pkg/errors"
@@ -65,7 +65,7 @@
 	defer running.Wait()
 	defer stop()
 	for i := range entries {
-		daemon := hosted.NewEntryDaemon(recoverySettings(i, server.Listener.Addr().String()), nil, f.log())
+		daemon := platformdaemon.NewEntryDaemon(recoverySettings(i, server.Listener.Addr().String()), nil, f.log())
 		running.Go(func() { _ = daemon.Run(ctx) }) // an entry that ends is missed below
 	}
 	var times []float64
--- a/standins/hosted/compaction_test.go
+++ b/standins/hosted/compaction_test.go
@@ -5,7 +5,7 @@
 	"testing"
 	"time"
 
-	"github.com/crowbridge/crowbridge/internal/hosted"
+	"github.com/crowbridge/crowbridge/internal/platformdaemon"
 	"github.com/crowbridge/crowbridge/platform"
 	standin "github.com/crowbridge/crowbridge/standins/platform"
 	. "github.com/onsi/gomega"
@@ -42,7 +42,7 @@
 			settings.Seeds = []string{entries[0].Control}
 		}
 		entries = append(entries, settings)
-		startEntry(hosted.NewEntryDaemon(settings, nil, quietLog()))
+		startEntry(platformdaemon.NewEntryDaemon(settings, nil, quietLog()))
 	}
 	statusWith := func(entry *platform.Settings, key string) func() int {
 		return func() int {
--- a/standins/hosted/ending_group_test.go
+++ b/standins/hosted/ending_group_test.go
@@ -12,7 +12,7 @@
 	"testing"
 	"time"
 
-	"github.com/crowbridge/crowbridge/internal/hosted"
+	"github.com/crowbridge/crowbridge/internal/platformdaemon"
 	"github.com/crowbridge/crowbridge/platform"
 	"github.com/crowbridge/crowbridge/standins/engine"
 	. "github.com/onsi/gomega"
@@ -196,7 +196,7 @@
 		f.addEntry(len(f.entries) > 0)
 	}
 	for rank, address := range e.addresses {
-		stop := start(hosted.NewAgentDaemon(&platform.Settings{
+		stop := start(platformdaemon.NewAgentDaemon(&platform.Settings{
 			Daemon: fmt.Sprint("agent-", rank), IP: fmt.Sprintf("127.0.0.%d", 60+rank), Zone: "z", Store: f.address, Path: "none",
 			FirstPort: f.firstPort, Seeds: []string{f.entries[0].Control}, LocalServer: address, EnginesFence: true,
 		}, quietLog()))
--- a/standins/hosted/ending_test.go
+++ b/standins/hosted/ending_test.go
@@ -12,7 +12,7 @@
 	"testing"
 	"time"
 
-	"github.com/crowbridge/crowbridge/internal/hosted"
+	"github.com/crowbridge/crowbridge/internal/platformdaemon"
 	"github.com/crowbridge/crowbridge/platform"
 	standin "github.com/crowbridge/crowbridge/standins/platform"
 	. "github.com/onsi/gomega"
@@ -186,7 +186,7 @@
 		settings.Seeds = []string{f.entries[0].Control}
 	}
 	f.entries = append(f.entries, settings)
-	f.stops = append(f.stops, start(hosted.NewEntryDaemon(settings, nil, quietLog())))
+	f.stops = append(f.stops, start(platformdaemon.NewEntryDaemon(settings, nil, quietLog())))
 }
 
 // stopEntries stops all entries at once.
@@ -323,7 +323,7 @@
 		before := f.servers.ended.Load()
 		f.stopEntries()
 		for _, settings := range f.entries {
-			f.stops = append(f.stops, start(hosted.NewEntryDaemon(settings, nil, quietLog())))
+			f.stops = append(f.stops, start(platformdaemon.NewEntryDaemon(settings, nil, quietLog())))
 		}
 		f.awaitReady()
 		f.repeat("/once/x", fewRepeats)
--- a/standins/hosted/hosted_test.go
+++ b/standins/hosted/hosted_test.go
@@ -16,7 +16,7 @@
 
 	"github.com/crowbridge/crowbridge/internal/config"
 	"github.com/crowbridge/crowbridge/internal/daemon"
-	"github.com/crowbridge/crowbridge/internal/hosted"
+	"github.com/crowbridge/crowbridge/internal/platformdaemon"
 	"github.com/crowbridge/crowbridge/internal/rpc"
 	"github.com/crowbridge/crowbridge/platform"
 	"github.com/crowbridge/crowbridge/standins/engine"
@@ -178,7 +178,7 @@
 	}
 
 	It("answers 503 until it is configured, then serves", func() {
-		run(hosted.NewEntryDaemon(settings, nil, quietLog()))
+		run(platformdaemon.NewEntryDaemon(settings, nil, quietLog()))
 		Eventually(ready(settings), patience).Should(Equal(http.StatusServiceUnavailable))
 		status, _ := ask(settings, "/a/x", "k1")
 		Expect(status).To(Equal(http.StatusServiceUnavailable))
@@ -192,7 +192,7 @@
 
 	It("takes keys away with a new configuration", func() {
 		serveOne()
-		run(hosted.NewEntryDaemon(settings, nil, quietLog()))
+		run(platformdaemon.NewEntryDaemon(settings, nil, quietLog()))
 		statusWith := func(key string) func() int {
 			return func() int {
 				status, _ := ask(settings, "/a/x", key)
@@ -207,12 +207,12 @@
 
 	It("learns all it needs from another entry while the store is down", func() {
 		serveOne()
-		run(hosted.NewEntryDaemon(settings, nil, quietLog()))
+		run(platformdaemon.NewEntryDaemon(settings, nil, quietLog()))
 		Eventually(ready(settings), patience).Should(Equal(http.StatusOK))
 		store.SetFaults(standin.Faults{Down: true})
 		second := entrySettings("127.0.0.2", settings.Store)
 		second.Seeds = []string{settings.Control}
-		run(hosted.NewEntryDaemon(second, nil, quietLog()))
+		run(platformdaemon.NewEntryDaemon(second, nil, quietLog()))
 		Eventually(ready(second), patience).Should(Equal(http.StatusOK))
 		status, _ := ask(second, "/a/x", "k1")
 		Expect(status).To(Equal(http.StatusOK))
@@ -224,7 +224,7 @@
 			listen("127.0.0.1:0", signingServer(&served))))
 		operator, err := daemon.ParseOperator("ops:change:" + daemon.HashSecret("token"))
 		Expect(err).NotTo(HaveOccurred())
-		run(hosted.NewEntryDaemon(settings, []daemon.Operator{operator}, quietLog()))
+		run(platformdaemon.NewEntryDaemon(settings, []daemon.Operator{operator}, quietLog()))
 		Eventually(ready(settings), patience).Should(Equal(http.StatusOK))
 		servedBy := func(s *platform.Settings) func() string {
 			return func() string {
@@ -255,14 +255,14 @@
 		store.SetFaults(standin.Faults{Down: true})
 		second := entrySettings("127.0.0.2", settings.Store)
 		second.Seeds = []string{settings.Control}
-		run(hosted.NewEntryDaemon(second, nil, quietLog()))
+		run(platformdaemon.NewEntryDaemon(second, nil, quietLog()))
 		Eventually(ready(second), patience).Should(Equal(http.StatusOK))
 		Expect(servedBy(second)()).To(Equal("for t by i-2"))
 	})
 
 	It("learns a new configuration from another entry when its own long read hangs", func() {
 		serveOne()
-		run(hosted.NewEntryDaemon(settings, nil, quietLog()))
+		run(platformdaemon.NewEntryDaemon(settings, nil, quietLog()))
 		Eventually(ready(settings), patience).Should(Equal(http.StatusOK))
 		var registrationReads atomic.Int64
 		hanging := listen("127.0.0.1:0", http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -277,7 +277,7 @@
 		}))
 		second := entrySettings("127.0.0.2", hanging)
 		second.Seeds = []string{settings.Control}
-		run(hosted.NewEntryDaemon(second, nil, quietLog()))
+		run(platformdaemon.NewEntryDaemon(second, nil, quietLog()))
 		Eventually(ready(second), patience).Should(Equal(http.StatusOK))
 		store.Put(platform.TopicOperators, "config", configVersion(2, `"k2"`))
 		before := registrationReads.Load()
@@ -298,7 +298,7 @@
 			signingServer(&served).ServeHTTP(w, r)
 		}))
 		store.Put("keyed.servers", "i-1", fmt.Sprintf(`{"service":"s","address":%q,"zone":"z","capacity":6,"state":"ready"}`, address))
-		stop := run(hosted.NewEntryDaemon(settings, nil, quietLog()))
+		stop := run(platformdaemon.NewEntryDaemon(settings, nil, quietLog()))
 		Eventually(ready(settings), patience).Should(Equal(http.StatusOK))
 		answered := make(chan int, 1)
 		go func() {
@@ -331,12 +331,12 @@
 			store.Put("keyed.servers", fmt.Sprint("r", rank), fmt.Sprintf(
 				`{"service":"m","address":%q,"zone":"z","capacity":12,"state":"ready","group":{"name":"g","epoch":1,"rank":%d,"state":"open"},"size":%d}`,
 				address, rank, groupRanks))
-			stops[rank] = run(hosted.NewAgentDaemon(&platform.Settings{
+			stops[rank] = run(platformdaemon.NewAgentDaemon(&platform.Settings{
 				Daemon: fmt.Sprint("agent-", rank), IP: ip, Zone: "z", Store: settings.Store, Path: "none",
 				FirstPort: base, Seeds: []string{settings.Control}, LocalServer: address, EnginesFence: true,
 			}, quietLog()))
 		}
-		run(hosted.NewEntryDaemon(settings, nil, quietLog()))
+		run(platformdaemon.NewEntryDaemon(settings, nil, quietLog()))
 		ctx, cancel := context.WithCancel(context.Background())
 		DeferCleanup(cancel)
 		go group.Run(ctx)
--- a/standins/hosted/limit_test.go
+++ b/standins/hosted/limit_test.go
@@ -8,7 +8,7 @@
 	"testing"
 	"time"
 
-	"github.com/crowbridge/crowbridge/internal/hosted"
+	"github.com/crowbridge/crowbridge/internal/platformdaemon"
 	"github.com/crowbridge/crowbridge/platform"
 	standin "github.com/crowbridge/crowbridge/standins/platform"
 	. "github.com/onsi/gomega"
@@ -89,7 +89,7 @@
 	for i := range limitedEntries {
 		settings := entrySettingsAt(fmt.Sprintf("127.0.0.%d", 80+i), base, address)
 		settings.Seeds = []string{fmt.Sprintf("127.0.0.80:%d", base+7)}
-		startEntry(hosted.NewEntryDaemon(settings, nil, quietLog()))
+		startEntry(platformdaemon.NewEntryDaemon(settings, nil, quietLog()))
 		entries = append(entries, settings)
 	}
 	for _, entry := range entries {
--- a/standins/hosted/oldercopy_test.go
+++ b/standins/hosted/oldercopy_test.go
@@ -7,7 +7,7 @@
 	"testing"
 	"time"
 
-	"github.com/crowbridge/crowbridge/internal/hosted"
+	"github.com/crowbridge/crowbridge/internal/platformdaemon"
 	"github.com/crowbridge/crowbridge/platform"
 	standin "github.com/crowbridge/crowbridge/standins/platform"
 	. "github.com/onsi/gomega"
@@ -28,7 +28,7 @@
 			settings.Seeds = []string{entries[0].Control}
 		}
 		entries = append(entries, settings)
-		startEntry(hosted.NewEntryDaemon(settings, nil, quietLog()))
+		startEntry(platformdaemon.NewEntryDaemon(settings, nil, quietLog()))
 	}
 	return entries, startEntry, func(entry *platform.Settings, key string) func() int {
 		return func() int {
@@ -144,7 +144,7 @@
 	ip, _, _ := strings.Cut(entries[0].Control, ":")
 	settings := entrySettings(ip, entries[0].Store)
 	settings.Seeds = []string{entries[1].Control}
-	startEntry(hosted.NewEntryDaemon(settings, nil, quietLog()))
+	startEntry(platformdaemon.NewEntryDaemon(settings, nil, quietLog()))
 	Eventually(answer(settings, "k2"), hearsWithin).Should(Equal(http.StatusOK))
 	Expect(answer(settings, "k1")()).To(Equal(http.StatusUnauthorized))
 }
--- a/standins/hosted/outage_test.go
+++ b/standins/hosted/outage_test.go
@@ -7,7 +7,7 @@
 
 	"github.com/crowbridge/crowbridge/internal/config"
 	"github.com/crowbridge/crowbridge/internal/daemon"
-	"github.com/crowbridge/crowbridge/internal/hosted"
+	"github.com/crowbridge/crowbridge/internal/platformdaemon"
 	"github.com/crowbridge/crowbridge/internal/rpc"
 	"github.com/crowbridge/crowbridge/platform"
 	standin "github.com/crowbridge/crowbridge/standins/platform"
@@ -30,7 +30,7 @@
 			settings.Seeds = []string{entries[0].Control}
 		}
 		entries = append(entries, settings)
-		startEntry(hosted.NewEntryDaemon(settings, []daemon.Operator{operator}, quietLog()))
+		startEntry(platformdaemon.NewEntryDaemon(settings, []daemon.Operator{operator}, quietLog()))
 	}
 	for _, entry := range entries {
 		Eventually(func() int { status, _ := ask(entry, "/a/x", "k1"); return status }, patience).Should(Equal(http.StatusServiceUnavailable), "no server")
--- a/standins/hosted/resting_random_test.go
+++ b/standins/hosted/resting_random_test.go
@@ -11,7 +11,7 @@
 	"testing"
 	"time"
 
-	"github.com/crowbridge/crowbridge/internal/hosted"
+	"github.com/crowbridge/crowbridge/internal/platformdaemon"
 	"github.com/crowbridge/crowbridge/platform"
 	standin "github.com/crowbridge/crowbridge/standins/platform"
 	. "github.com/onsi/gomega"
@@ -239,7 +239,7 @@
 	address, stop := serveAt("127.0.0.1:0", f.store)
 	t.Cleanup(stop)
 	entry := entrySettings("127.0.0.1", address)
-	t.Cleanup(start(hosted.NewEntryDaemon(entry, nil, quietLog())))
+	t.Cleanup(start(platformdaemon.NewEntryDaemon(entry, nil, quietLog())))
 	Eventually(ready(entry), patience).Should(Equal(http.StatusOK))
 
 	var callers sync.WaitGroup
--- a/standins/hosted/resting_test.go
+++ b/standins/hosted/resting_test.go
@@ -8,7 +8,7 @@
 	"testing"
 	"time"
 
-	"github.com/crowbridge/crowbridge/internal/hosted"
+	"github.com/crowbridge/crowbridge/internal/platformdaemon"
 	"github.com/crowbridge/crowbridge/platform"
 	standin "github.com/crowbridge/crowbridge/standins/platform"
 	. "github.com/onsi/gomega"
@@ -98,7 +98,7 @@
 		add(server)
 	}
 	entry = entrySettings("127.0.0.1", serve(store))
-	t.Cleanup(start(hosted.NewEntryDaemon(entry, nil, quietLog())))
+	t.Cleanup(start(platformdaemon.NewEntryDaemon(entry, nil, quietLog())))
 	Eventually(ready(entry), patience).Should(Equal(http.StatusOK))
 	return entry, add
 }
