--- a/cmd/crowbridged/entry.go
+++ b/cmd/crowbridged/entry.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"github.com/crowbridge/crowbridge/internal/admin"
-	"github.com/crowbridge/crowbridge/internal/crashwatch"
+	"github.com/crowbridge/crowbridge/internal/crash"
 	"github.com/crowbridge/crowbridge/internal/daemon"
 	"github.com/crowbridge/crowbridge/internal/entry"
 	"github.com/crowbridge/crowbridge/internal/peerrpc"
@@ -150,7 +150,7 @@
 	p.loop(func(ctx context.Context) {
 		e.Crashes().Gossip(ctx, otherEntries(p.cmd, s), daemon.NewControlClient(key))
 	})
-	p.loop(crashwatch.NewKeeper(e.Crashes(), rep, log, p.cmd.String("name"), time.Now).Run)
+	p.loop(crash.NewKeeper(e.Crashes(), rep, log, p.cmd.String("name"), time.Now).Run)
 	p.run(e.WatchServers)
 	p.loop(func(ctx context.Context) { e.WatchVMs(ctx, store) })
 	if readsLog(p.cmd, s) {
@@ -183,11 +183,11 @@
 	}
 }
 
-func controlHandler(key string, api *admin.Admin, rep *replica.Replica, log replica.Log, watch *crashwatch.Watch) http.Handler {
+func controlHandler(key string, api *admin.Admin, rep *replica.Replica, log replica.Log, watch *crash.Watch) http.Handler {
 	peers := rpc.NewPeersServer(&replica.PeerServer{Replica: rep, Log: log, Seen: api.Seen})
 	mux := http.NewServeMux()
 	mux.Handle(peers.PathPrefix(), daemon.RequireKey(key, peers))
-	crashes := peerrpc.NewCrashesServer(crashwatch.Server{Watch: watch})
+	crashes := peerrpc.NewCrashesServer(crash.Server{Watch: watch})
 	mux.Handle(crashes.PathPrefix(), daemon.RequireKey(key, crashes))
 	mux.Handle(api.PathPrefix(), api.Handler())
 	return mux
--- a/internal/agent/control.go
+++ b/internal/agent/control.go
@@ -5,7 +5,7 @@
 	"net/url"
 	"time"
 
-	"github.com/crowbridge/crowbridge/internal/crashwatch"
+	"github.com/crowbridge/crowbridge/internal/crash"
 	"github.com/crowbridge/crowbridge/internal/rpc"
 	"github.com/crowbridge/crowbridge/internal/upstream"
 	"github.com/pkg/errors"
@@ -42,12 +42,12 @@
 	defer cancel()
 	reply := &rpc.EngineReply{Server: c.Agent.options.Server}
 	switch upstream.ProbeAddress(ctx, backend.Host) {
-	case crashwatch.Listening:
+	case crash.Listening:
 		reply.State = rpc.EngineState_ENGINE_STATE_LISTENING
-	case crashwatch.Ended:
+	case crash.Ended:
 		c.Agent.serverEnded()
 		reply.State = rpc.EngineState_ENGINE_STATE_ENDED
-	case crashwatch.Unknown:
+	case crash.Unknown:
 	}
 	return reply, nil
 }
--- a/internal/agent/rest.go
+++ b/internal/agent/rest.go
@@ -6,7 +6,7 @@
 	"net/url"
 	"time"
 
-	"github.com/crowbridge/crowbridge/internal/crashwatch"
+	"github.com/crowbridge/crowbridge/internal/crash"
 	"github.com/crowbridge/crowbridge/internal/eligibility"
 	"github.com/crowbridge/crowbridge/internal/failure"
 	"github.com/crowbridge/crowbridge/internal/httpapi"
@@ -128,7 +128,7 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), engineTimeout)
 	defer cancel()
-	if upstream.ProbeAddress(ctx, backend.Host) == crashwatch.Ended {
+	if upstream.ProbeAddress(ctx, backend.Host) == crash.Ended {
 		a.serverEnded()
 	}
 }
--- a/internal/crashwatch/codec_test.go
+++ b/internal/crash/codec_test.go
@@ -1,4 +1,4 @@
-package crashwatch
+package crash
 
 import (
 	"testing"
--- a/internal/crashwatch/watch.go
+++ b/internal/crash/detector.go
@@ -1,6 +1,6 @@
-// Package crashwatch finds out whether servers that cut requests off have ended, tells
+// Package crash finds out whether servers that cut requests off have ended, tells
 // other daemons, and keeps the quarantine of requests that end their servers.
-package crashwatch
+package crash
 
 import (
 	"context"
--- a/internal/crashwatch/watch_test.go
+++ b/internal/crash/detector_test.go
@@ -1,4 +1,4 @@
-package crashwatch
+package crash
 
 import (
 	"context"
@@ -23,9 +23,9 @@
 	logrustest "github.com/sirupsen/logrus/hooks/test"
 )
 
-func TestCrashwatch(t *testing.T) {
+func TestCrash(t *testing.T) {
 	RegisterFailHandler(Fail)
-	RunSpecs(t, "crashwatch")
+	RunSpecs(t, "crash")
 }
 
 // world is what a watch sees of servers, with a clock that a spec moves.
--- a/internal/dispatch/board.go
+++ b/internal/dispatch/board.go
@@ -8,7 +8,7 @@
 
 	"github.com/crowbridge/crowbridge/internal/eligibility"
 	"github.com/crowbridge/crowbridge/internal/fleet"
-	"github.com/crowbridge/crowbridge/internal/parts"
+	"github.com/crowbridge/crowbridge/internal/quota"
 	"github.com/crowbridge/crowbridge/internal/ratelimit"
 )
 
@@ -31,7 +31,7 @@
 	// limits are those that servers name to all VMs together.
 	limits *ratelimit.Table
 	// daemons are the entries among which servers' connections are divided.
-	daemons parts.Daemons
+	daemons quota.Daemons
 }
 
 // row is one server.
@@ -104,7 +104,7 @@
 // SetEntries tells among which entries the retry budget and servers' connections are divided,
 // by their control addresses, which the others know too.
 func (b *Board) SetEntries(self string, others []string) {
-	daemons := parts.NewDaemons(self, others)
+	daemons := quota.NewDaemons(self, others)
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.daemons.Same(daemons) {
--- a/internal/dispatch/budget.go
+++ b/internal/dispatch/budget.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"github.com/crowbridge/crowbridge/internal/parts"
+	"github.com/crowbridge/crowbridge/internal/quota"
 )
 
 // BudgetPolicy bounds the sendings beyond each request's first.
@@ -31,7 +31,7 @@
 
 // extra is this entry's share of Extra.
 func (p BudgetPolicy) extra() float64 {
-	return min(p.Extra/extraShares, parts.Equal(p.Extra, p.Entries))
+	return min(p.Extra/extraShares, quota.Equal(p.Extra, p.Entries))
 }
 
 // retryBudget counts one service's requests and repeats at this entry. It needs
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -12,7 +12,7 @@
 	"time"
 
 	"github.com/crowbridge/crowbridge/internal/config"
-	"github.com/crowbridge/crowbridge/internal/crashwatch"
+	"github.com/crowbridge/crowbridge/internal/crash"
 	"github.com/crowbridge/crowbridge/internal/daemon"
 	"github.com/crowbridge/crowbridge/internal/dispatch"
 	"github.com/crowbridge/crowbridge/internal/outcome"
@@ -61,7 +61,7 @@
 
 	index    atomic.Pointer[compiled]
 	pipeline *dispatch.Pipeline
-	crashes  *crashwatch.Watch
+	crashes  *crash.Watch
 
 	mu       sync.Mutex
 	table    *routing.Table
@@ -114,7 +114,7 @@
 		inFlight: map[string]int{},
 		cancels:  map[requestRef]context.CancelCauseFunc{},
 	}
-	e.crashes = crashwatch.New(agentProber{e}, now, func(d time.Duration, f func()) { time.AfterFunc(d, f) }, log)
+	e.crashes = crash.New(agentProber{e}, now, func(d time.Duration, f func()) { time.AfterFunc(d, f) }, log)
 	e.rebuild()
 	e.pipeline = dispatch.NewTargetPipeline(noFleet{}, tableChooser{e}, agentBackend{e}, now, log)
 	e.pipeline.SetQuarantine(e.crashes)
@@ -181,7 +181,7 @@
 }
 
 // Crashes is what the entry knows of requests that end servers.
-func (e *Entry) Crashes() *crashwatch.Watch { return e.crashes }
+func (e *Entry) Crashes() *crash.Watch { return e.crashes }
 
 // Ledger returns how the requests accepted here ended.
 func (e *Entry) Ledger() outcome.Counts { return e.pipeline.Ledger() }
--- a/internal/entry/watch.go
+++ b/internal/entry/watch.go
@@ -4,7 +4,7 @@
 	"context"
 	"time"
 
-	"github.com/crowbridge/crowbridge/internal/crashwatch"
+	"github.com/crowbridge/crowbridge/internal/crash"
 	"github.com/crowbridge/crowbridge/internal/fleet"
 	"github.com/crowbridge/crowbridge/internal/routing"
 	"github.com/crowbridge/crowbridge/internal/rpc"
@@ -87,27 +87,27 @@
 }
 
 // agentProber asks the agents whether the servers behind them listen. It implements
-// crashwatch.Prober.
+// crash.Prober.
 type agentProber struct{ entry *Entry }
 
-// Probe implements crashwatch.Prober.
-func (p agentProber) Probe(ctx context.Context, server *fleet.Server) crashwatch.Liveness {
+// Probe implements crash.Prober.
+func (p agentProber) Probe(ctx context.Context, server *fleet.Server) crash.Liveness {
 	listed := p.entry.index.Load().index.Servers()[server.ID]
 	if listed == nil {
-		return crashwatch.Unknown
+		return crash.Unknown
 	}
 	reply, err := rpc.NewAgentsProtobufClient("http://"+listed.Spec.Control, p.entry.control).Engine(ctx, &rpc.EngineRequest{})
 	if err != nil {
-		return crashwatch.Unknown // the agent is lost, which says nothing of the request
+		return crash.Unknown // the agent is lost, which says nothing of the request
 	}
 	switch reply.GetState() {
 	case rpc.EngineState_ENGINE_STATE_ENDED:
-		return crashwatch.Ended
+		return crash.Ended
 	case rpc.EngineState_ENGINE_STATE_LISTENING:
-		return crashwatch.Listening
+		return crash.Listening
 	case rpc.EngineState_ENGINE_STATE_UNKNOWN:
 	}
-	return crashwatch.Unknown
+	return crash.Unknown
 }
 
 // VMList is the platform's list of backend servers.
--- a/internal/longread/longread.go
+++ b/internal/longpoll/longpoll.go
@@ -1,6 +1,6 @@
-// Package longread judges reads that wait for news, whose silence means "nothing new" only
+// Package longpoll judges reads that wait for news, whose silence means "nothing new" only
 // if the source hears of it.
-package longread
+package longpoll
 
 import (
 	"sync/atomic"
--- a/internal/membership/follow.go
+++ b/internal/membership/follow.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"github.com/VictoriaMetrics/metrics"
-	"github.com/crowbridge/crowbridge/internal/longread"
+	"github.com/crowbridge/crowbridge/internal/longpoll"
 	"github.com/crowbridge/crowbridge/internal/storelog"
 	"github.com/crowbridge/crowbridge/internal/wait"
 	"github.com/sirupsen/logrus"
@@ -116,7 +116,7 @@
 	onReached func()
 	// silence judges the reads that wait for a configuration, reading is the position that
 	// the present one waits for.
-	silence longread.Doubt
+	silence longpoll.Doubt
 	reading atomic.Int64
 	// gone is the position of each topic that the store didn't have last. Each topic is
 	// followed by one goroutine.
--- a/internal/membership/silence.go
+++ b/internal/membership/silence.go
@@ -4,7 +4,7 @@
 	"errors"
 	"time"
 
-	"github.com/crowbridge/crowbridge/internal/longread"
+	"github.com/crowbridge/crowbridge/internal/longpoll"
 	"github.com/crowbridge/crowbridge/internal/storelog"
 )
 
@@ -34,7 +34,7 @@
 
 // peerKnewMore ends the present read, unless it hears by itself of what a peer has just told.
 func (f *Follower) peerKnewMore(next storelog.Position) {
-	time.AfterFunc(longread.PeerAheadGrace, func() {
+	time.AfterFunc(longpoll.PeerAheadGrace, func() {
 		if storelog.Position(f.reading.Load()) < next {
 			f.doubt(errMissed)
 			wake(f.rereads)
--- a/internal/membership/silence_test.go
+++ b/internal/membership/silence_test.go
@@ -5,7 +5,7 @@
 	"errors"
 	"time"
 
-	"github.com/crowbridge/crowbridge/internal/longread"
+	"github.com/crowbridge/crowbridge/internal/longpoll"
 	"github.com/crowbridge/crowbridge/internal/peerrpc"
 	"github.com/crowbridge/crowbridge/internal/storelog"
 	. "github.com/onsi/ginkgo/v2"
@@ -41,7 +41,7 @@
 		b.store.append(TopicOperators, "config", "2")
 		b.members.operators.next = 0
 		Expect(b.read()).To(Succeed())
-		Expect(b.follower.configPatience()).To(Equal(longread.DoubtWait))
+		Expect(b.follower.configPatience()).To(Equal(longpoll.DoubtWait))
 		Expect(b.logs.AllEntries()).To(ContainElement(HaveField("Message", ContainSubstring("isn't believed"))))
 		b.now = b.now.Add(time.Minute)
 		Expect(b.follower.configPatience()).To(Equal(readerConfigWait))
@@ -50,10 +50,10 @@
 	It("is broken by another daemon that knows more, unless the own read hears of it too", func() {
 		b.follower.reading.Store(1)
 		b.follower.peerKnewMore(1)
-		Consistently(b.follower.rereads, 2*longread.PeerAheadGrace).ShouldNot(Receive())
+		Consistently(b.follower.rereads, 2*longpoll.PeerAheadGrace).ShouldNot(Receive())
 		b.members.onPeerConfig(2)
 		Eventually(b.follower.rereads, "5s").Should(Receive())
-		Expect(b.follower.configPatience()).To(Equal(longread.DoubtWait))
+		Expect(b.follower.configPatience()).To(Equal(longpoll.DoubtWait))
 	})
 
 	It("is as old as the read that was answered last, or as a peer's that knows as much", func() {
--- a/internal/platformdaemon/crashes.go
+++ b/internal/platformdaemon/crashes.go
@@ -6,7 +6,7 @@
 	"net/netip"
 	"time"
 
-	"github.com/crowbridge/crowbridge/internal/crashwatch"
+	"github.com/crowbridge/crowbridge/internal/crash"
 	"github.com/crowbridge/crowbridge/internal/peerrpc"
 	"github.com/pkg/errors"
 	"google.golang.org/protobuf/proto"
@@ -26,7 +26,7 @@
 	for {
 		select {
 		case evidence := <-e.crashes.News():
-			messages := crashwatch.Encode(evidence, e.clock.Now())
+			messages := crash.Encode(evidence, e.clock.Now())
 			for at := 0; at < len(messages); at += crashesEach {
 				e.sendCrashes(conn, messages[at:min(at+crashesEach, len(messages))])
 			}
@@ -73,11 +73,11 @@
 			e.log.WithError(err).Debug("crash news not understood")
 			continue
 		}
-		e.crashes.Hear(crashwatch.Decode(news.GetEvidence(), e.clock.Now()), "entry "+from.String())
+		e.crashes.Hear(crash.Decode(news.GetEvidence(), e.clock.Now()), "entry "+from.String())
 	}
 }
 
 // keepQuarantines keeps quarantines in the product's own configuration.
 func (e *EntryDaemon) keepQuarantines(ctx context.Context) {
-	crashwatch.NewKeeper(e.crashes, e.replica, e.configLog, e.settings.Daemon, time.Now).Run(ctx)
+	crash.NewKeeper(e.crashes, e.replica, e.configLog, e.settings.Daemon, time.Now).Run(ctx)
 }
--- a/internal/platformdaemon/entry.go
+++ b/internal/platformdaemon/entry.go
@@ -13,7 +13,7 @@
 	"github.com/crowbridge/crowbridge/internal/admin"
 	"github.com/crowbridge/crowbridge/internal/buildinfo"
 	"github.com/crowbridge/crowbridge/internal/clock"
-	"github.com/crowbridge/crowbridge/internal/crashwatch"
+	"github.com/crowbridge/crowbridge/internal/crash"
 	"github.com/crowbridge/crowbridge/internal/daemon"
 	"github.com/crowbridge/crowbridge/internal/dispatch"
 	"github.com/crowbridge/crowbridge/internal/eligibility"
@@ -51,7 +51,7 @@
 	follower *membership.Follower
 	exchange *membership.Exchange
 	board    *dispatch.Board
-	crashes  *crashwatch.Watch
+	crashes  *crash.Watch
 	pipeline *dispatch.Pipeline
 	frontend *frontend.Server
 	// replica has the product's own configuration, steering its selectors.
@@ -78,7 +78,7 @@
 		settings: s, log: log, clock: clk, members: members, replica: rep, steering: steering.New(rep, time.Now, log),
 		configLog: platform.ConfigLog{Store: store, Now: time.Now},
 		board:     dispatch.NewBoard(budgetPolicy(s), s.Zone, rand.IntN),
-		crashes:   crashwatch.New(upstream.Prober{}, clk.Now, func(d time.Duration, f func()) { time.AfterFunc(d, f) }, log),
+		crashes:   crash.New(upstream.Prober{}, clk.Now, func(d time.Duration, f func()) { time.AfterFunc(d, f) }, log),
 	}
 	e.exchange = membership.NewExchange(members, membership.Peer{Control: s.Control, Zone: s.Zone}, s.Seeds, control, log)
 	daemon.WatchEra(store.Eras(), log)
--- a/internal/parts/parts.go
+++ b/internal/quota/quota.go
@@ -1,7 +1,7 @@
-// Package parts divides what is bound for all daemons together into equal parts, one for each
+// Package quota divides what is bound for all daemons together into equal parts, one for each
 // daemon that is known. It needs nobody's word on what the others use, and leaves unused what
 // they don't need: right for bounds that are far above what is used of them.
-package parts
+package quota
 
 import (
 	"slices"
--- a/internal/parts/parts_test.go
+++ b/internal/quota/quota_test.go
@@ -1,4 +1,4 @@
-package parts
+package quota
 
 import (
 	"flag"
--- a/internal/replica/replica.go
+++ b/internal/replica/replica.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"github.com/crowbridge/crowbridge/internal/config"
-	"github.com/crowbridge/crowbridge/internal/longread"
+	"github.com/crowbridge/crowbridge/internal/longpoll"
 	"github.com/crowbridge/crowbridge/internal/storelog"
 	"github.com/pkg/errors"
 )
@@ -54,7 +54,7 @@
 	confirmed time.Time // when the end of the log was last heard of
 	now       func() time.Time
 	wait      time.Duration // of one read for new records
-	silence   longread.Doubt
+	silence   longpoll.Doubt
 	behind    chan struct{} // ends a read that is silent about what a peer knows
 	reread    chan struct{} // ends a read that may hang, and goes back to the first source
 
@@ -155,7 +155,7 @@
 	if next <= r.Next() {
 		return
 	}
-	time.AfterFunc(longread.PeerAheadGrace, func() {
+	time.AfterFunc(longpoll.PeerAheadGrace, func() {
 		if next <= r.Next() {
 			return
 		}
--- a/internal/replica/replica_test.go
+++ b/internal/replica/replica_test.go
@@ -10,7 +10,7 @@
 	"time"
 
 	"github.com/crowbridge/crowbridge/internal/config"
-	"github.com/crowbridge/crowbridge/internal/longread"
+	"github.com/crowbridge/crowbridge/internal/longpoll"
 	"github.com/crowbridge/crowbridge/internal/storelog"
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
@@ -111,7 +111,7 @@
 			Expect(step()).To(Equal(28 * time.Second))
 			source.down.Store(false)
 			source.absent = false
-			Expect(step()).To(Equal(longread.DoubtWait))
+			Expect(step()).To(Equal(longpoll.DoubtWait))
 			now = now.Add(time.Minute)
 			Expect(step()).To(Equal(28 * time.Second))
 		}
@@ -123,7 +123,7 @@
 		deaf := &deafSource{&fakeSource{name: "log", from: upTo(1)}}
 		follow(r, deaf, &fakeSource{name: "peer", from: upTo(4)})
 		r.PeerKnows(2)
-		Consistently(r.Position, 2*longread.PeerAheadGrace).Should(Equal(storelog.Position(1)), "it's known here too")
+		Consistently(r.Position, 2*longpoll.PeerAheadGrace).Should(Equal(storelog.Position(1)), "it's known here too")
 		r.PeerKnows(5)
 		Eventually(r.Position, "5s").Should(Equal(storelog.Position(4)))
 	})
--- a/internal/upstream/probe.go
+++ b/internal/upstream/probe.go
@@ -5,29 +5,29 @@
 	"net"
 	"syscall"
 
-	"github.com/crowbridge/crowbridge/internal/crashwatch"
+	"github.com/crowbridge/crowbridge/internal/crash"
 	"github.com/crowbridge/crowbridge/internal/fleet"
 	"github.com/pkg/errors"
 )
 
-// Prober looks whether servers listen at their addresses. It implements crashwatch.Prober.
+// Prober looks whether servers listen at their addresses. It implements crash.Prober.
 type Prober struct{}
 
-// Probe implements crashwatch.Prober.
-func (Prober) Probe(ctx context.Context, server *fleet.Server) crashwatch.Liveness {
+// Probe implements crash.Prober.
+func (Prober) Probe(ctx context.Context, server *fleet.Server) crash.Liveness {
 	return ProbeAddress(ctx, server.Address)
 }
 
 // ProbeAddress looks whether somebody listens at an address, with one connection that is
 // closed at once.
-func ProbeAddress(ctx context.Context, address string) crashwatch.Liveness {
+func ProbeAddress(ctx context.Context, address string) crash.Liveness {
 	conn, err := (&net.Dialer{}).DialContext(ctx, "tcp4", address)
 	if err == nil {
 		_ = conn.Close() // nothing was sent
-		return crashwatch.Listening
+		return crash.Listening
 	}
 	if errors.Is(err, syscall.ECONNREFUSED) {
-		return crashwatch.Ended
+		return crash.Ended
 	}
-	return crashwatch.Unknown
+	return crash.Unknown
 }
