--- a/cmd/crowbridged/rank.go
+++ b/cmd/crowbridged/rank.go
@@ -44,7 +44,7 @@
 	engines := platform.NewEngines(upstream.NewTransport())
 	rank := experts.NewAgent(engines, backend.Host, time.Now, p.log)
 	trail := group.NewTrail(p.cmd.String("server"), platform.ConfigLog{Store: store, Now: time.Now}, p.log)
-	options := ranks.Options{Daemon: p.cmd.String("server"), Room: countRoom, Trail: trail}
+	options := ranks.Options{Daemon: p.cmd.String("server"), CountsBandwidth: countRoom, AuditTrail: trail}
 	key, ip := p.cmd.String("daemon-key"), netip.MustParseAddrPort(p.cmd.String("control")).Addr() // checked with the settings
 	datagrams, err := net.ListenPacket("udp4", p.cmd.String("control"))
 	if err != nil {
@@ -66,7 +66,7 @@
 func watchEngine(ctx context.Context, rank *experts.Agent) {
 	for ctx.Err() == nil {
 		asking, cancel := context.WithTimeout(ctx, rankTimeout)
-		_, _ = rank.Report(asking)
+		_, _ = rank.RefreshReport(asking)
 		cancel()
 		wait.For(ctx, rankPace)
 	}
--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -261,10 +261,10 @@
 
 // holders returns who holds the groups' leases, or nobody while the store can't
 // be read.
-func (a *Admin) holders(ctx context.Context) []experts.Held {
+func (a *Admin) holders(ctx context.Context) []experts.LeaseState {
 	ctx, cancel := context.WithTimeout(ctx, leaseTimeout)
 	defer cancel()
-	held, err := experts.Holders(ctx, a.leases)
+	held, err := experts.CurrentLeases(ctx, a.leases)
 	if err != nil {
 		a.logger.WithError(err).Info("leases not read: the status goes without them")
 	}
--- a/internal/experts/agent.go
+++ b/internal/experts/agent.go
@@ -13,9 +13,9 @@
 // Engine is the model engine on the agent's VM.
 type Engine interface {
 	Report(ctx context.Context, address string) (RankReport, error)
-	Picked(ctx context.Context, address string) (Counts, error)
+	Counts(ctx context.Context, address string) (Counts, error)
 	Experts(ctx context.Context, address string) ([][]int, error)
-	Order(ctx context.Context, address string, order Order) (Verdict, error)
+	Execute(ctx context.Context, address string, order Command) (Result, error)
 }
 
 // Agent stands beside one engine: it tells the holder of the group's lease what
@@ -67,11 +67,11 @@
 }
 
 // Learn notes a fence that the lease's history shows.
-func (a *Agent) Learn(fence int64) { a.hear(fence) }
+func (a *Agent) ObserveFence(fence int64) { a.hear(fence) }
 
 // Inherit notes a lease that an earlier process of this daemon had. Nobody has it now,
 // so that there is nobody to wait for.
-func (a *Agent) Inherit(fence int64) {
+func (a *Agent) MarkHolderGone(fence int64) {
 	a.hear(fence)
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -84,7 +84,7 @@
 // Silent tells the highest fence heard of, and for how long an open group has
 // gone without a call of its holder. A group that isn't open needs none, and its
 // holder may be on the other side of what broke it.
-func (a *Agent) Silent() (fence int64, silent time.Duration) {
+func (a *Agent) SinceHolderCall() (fence int64, silent time.Duration) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if !a.last.Open {
@@ -101,25 +101,25 @@
 }
 
 // Question is what a holder wants to know besides a rank's state.
-type Question struct {
+type Query struct {
 	// From and To bound the counts that are asked for, in the order of Counts.Chosen:
 	// what was chosen since the holder's last look.
 	From, To int
 	// Lists asks for the rank's experts.
-	Lists bool
+	Experts bool
 }
 
 // Observe answers a holder.
-func (a *Agent) Observe(ctx context.Context, fence int64, ask Question) (Observation, error) {
+func (a *Agent) Observe(ctx context.Context, fence int64, ask Query) (Observation, error) {
 	highest, current := a.hear(fence)
 	if !current {
 		return Observation{Fence: highest}, nil
 	}
-	report, err := a.Report(ctx)
+	report, err := a.RefreshReport(ctx)
 	if err != nil {
 		return Observation{Fence: highest}, err
 	}
-	counts, err := a.engine.Picked(ctx, a.address)
+	counts, err := a.engine.Counts(ctx, a.address)
 	if err != nil {
 		return Observation{Fence: highest}, err
 	}
@@ -128,7 +128,7 @@
 	if more := a.sinceLast(fence, counts); ask.To > ask.From {
 		seen.Counts = more.between(ask.From, ask.To)
 	}
-	if ask.Lists {
+	if ask.Experts {
 		seen.Experts, err = a.engine.Experts(ctx, a.address)
 	}
 	return seen, err
@@ -141,7 +141,7 @@
 		c.Chosen = nil
 		return c
 	}
-	c.From, c.Chosen = from, c.Chosen[from:to]
+	c.Offset, c.Chosen = from, c.Chosen[from:to]
 	return c
 }
 
@@ -152,8 +152,8 @@
 	defer a.mu.Unlock()
 	last, asked := a.counted, a.countedFor
 	a.counted, a.countedFor = counts, fence
-	more := Counts{Pass: counts.Pass, Epoch: counts.Epoch, Born: counts.Born}
-	if asked != fence || last.Epoch != counts.Epoch || last.Born != counts.Born || len(last.Chosen) != len(counts.Chosen) {
+	more := Counts{Pass: counts.Pass, Epoch: counts.Epoch, StartID: counts.StartID}
+	if asked != fence || last.Epoch != counts.Epoch || last.StartID != counts.StartID || len(last.Chosen) != len(counts.Chosen) {
 		return more
 	}
 	chosen := make([]float64, len(counts.Chosen))
@@ -167,7 +167,7 @@
 }
 
 // Report reads the engine's state.
-func (a *Agent) Report(ctx context.Context) (RankReport, error) {
+func (a *Agent) RefreshReport(ctx context.Context) (RankReport, error) {
 	report, err := a.engine.Report(ctx, a.address)
 	if err != nil {
 		return RankReport{}, err
@@ -177,7 +177,7 @@
 	if report.Open && !a.last.Open {
 		a.openedAt = a.now()
 	}
-	if report.Born != a.last.Born {
+	if report.StartID != a.last.StartID {
 		a.notice = eligibility.Notice{} // this start has said nothing
 	}
 	a.last = report
@@ -185,14 +185,14 @@
 }
 
 // Last returns the engine's last report.
-func (a *Agent) Last() RankReport {
+func (a *Agent) LastReport() RankReport {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.last
 }
 
 // Command gives the engine an order of a holder.
-func (a *Agent) Command(ctx context.Context, order Order) (Verdict, error) {
+func (a *Agent) Execute(ctx context.Context, order Command) (Result, error) {
 	a.orders.Lock()
 	defer a.orders.Unlock()
 	if highest, current := a.hear(order.Fence); !current {
@@ -202,8 +202,8 @@
 		a.log.WithError(err).WithField("operation", order.Operation.String()).Info("order not given")
 		return Refused, err
 	}
-	verdict, err := Repeat(ctx, localTry, func(ctx context.Context) (Verdict, error) {
-		return a.engine.Order(ctx, a.address, order)
+	verdict, err := Retry(ctx, localTry, func(ctx context.Context) (Result, error) {
+		return a.engine.Execute(ctx, a.address, order)
 	})
 	a.log.WithFields(logrus.Fields{
 		"operation": order.Operation.String(), "version": order.Version, "pass": order.Pass, "epoch": order.Epoch,
@@ -251,15 +251,15 @@
 
 // Repeat gives an order until it is answered or the context ends. Orders are
 // idempotent: one that was carried out already is accepted again.
-func Repeat(ctx context.Context, try time.Duration, give func(ctx context.Context) (Verdict, error)) (Verdict, error) {
+func Retry(ctx context.Context, try time.Duration, give func(ctx context.Context) (Result, error)) (Result, error) {
 	for {
 		attempt, cancel := context.WithTimeout(ctx, try)
 		verdict, err := give(attempt)
-		if verdict == Unanswered {
+		if verdict == NoResponse {
 			<-attempt.Done() // an engine that can't be reached fails at once
 		}
 		cancel()
-		if verdict != Unanswered || ctx.Err() != nil {
+		if verdict != NoResponse || ctx.Err() != nil {
 			return verdict, err
 		}
 	}
--- a/internal/experts/agent_test.go
+++ b/internal/experts/agent_test.go
@@ -25,7 +25,7 @@
 type fakeEngine struct {
 	report RankReport
 	counts Counts
-	orders []Order
+	orders []Command
 	// rest is what each order is refused with, if it's set.
 	rest time.Duration
 	// unanswered orders come before the first that is answered.
@@ -34,17 +34,17 @@
 
 func (e *fakeEngine) Report(context.Context, string) (RankReport, error) { return e.report, nil }
 
-func (e *fakeEngine) Picked(context.Context, string) (Counts, error) { return e.counts, nil }
+func (e *fakeEngine) Counts(context.Context, string) (Counts, error) { return e.counts, nil }
 
 func (e *fakeEngine) Experts(context.Context, string) ([][]int, error) { return nil, nil }
 
-func (e *fakeEngine) Order(_ context.Context, _ string, o Order) (Verdict, error) {
+func (e *fakeEngine) Execute(_ context.Context, _ string, o Command) (Result, error) {
 	e.orders = append(e.orders, o)
 	if e.rest > 0 {
 		return Refused, &RestError{Rest: e.rest, Err: errors.New("status 503")}
 	}
 	if len(e.orders) <= e.unanswered {
-		return Unanswered, errors.New("no answer")
+		return NoResponse, errors.New("no answer")
 	}
 	return Accepted, nil
 }
@@ -85,27 +85,27 @@
 	ctx := context.Background()
 
 	It("waits for nobody when an earlier process of its daemon was the holder, until another is", func() {
-		_, err := agent.Report(ctx)
+		_, err := agent.RefreshReport(ctx)
 		Expect(err).NotTo(HaveOccurred())
-		agent.Inherit(4)
-		fence, silent := agent.Silent()
+		agent.MarkHolderGone(4)
+		fence, silent := agent.SinceHolderCall()
 		Expect(fence).To(Equal(int64(4)))
-		Expect(silent).To(BeNumerically(">", Silence(11)))
-		agent.Learn(5)
-		_, silent = agent.Silent()
+		Expect(silent).To(BeNumerically(">", ClaimDelay(11)))
+		agent.ObserveFence(5)
+		_, silent = agent.SinceHolderCall()
 		Expect(silent).To(BeZero())
 		engine.report.Open = false
-		agent.Inherit(6)
-		_, err = agent.Report(ctx)
+		agent.MarkHolderGone(6)
+		_, err = agent.RefreshReport(ctx)
 		Expect(err).NotTo(HaveOccurred())
-		_, silent = agent.Silent()
+		_, silent = agent.SinceHolderCall()
 		Expect(silent).To(BeZero(), "a group that can't run needs no holder")
 	})
 
 	It("lets its engine rest from orders that begin something, and never holds one back that others wait for", func() {
 		engine.rest = 3 * time.Second
-		give := func(operation Operation) Verdict {
-			verdict, _ := agent.Command(ctx, Order{Operation: operation, Fence: 1})
+		give := func(operation Operation) Result {
+			verdict, _ := agent.Execute(ctx, Command{Operation: operation, Fence: 1})
 			return verdict
 		}
 		Expect(give(Prepare)).To(Equal(Refused))
@@ -119,16 +119,16 @@
 		}
 		engine.rest, now = 3*time.Second, now.Add(3*time.Second)
 		Expect(give(Prepare)).To(Equal(Refused))
-		engine.rest, engine.report.Born = 0, 2
-		_, err := agent.Report(ctx)
+		engine.rest, engine.report.StartID = 0, 2
+		_, err := agent.RefreshReport(ctx)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(give(Prepare)).To(Equal(Accepted), "its next start has said nothing")
 	})
 
 	It("counts nothing from one start of its engine to the next", func() {
 		chosen := func(born int64, counts ...float64) []float64 {
-			engine.counts = Counts{Born: born, Chosen: counts}
-			seen, err := agent.Observe(ctx, 7, Question{To: len(counts)})
+			engine.counts = Counts{StartID: born, Chosen: counts}
+			seen, err := agent.Observe(ctx, 7, Query{To: len(counts)})
 			Expect(err).NotTo(HaveOccurred())
 			return seen.Counts.Chosen
 		}
@@ -139,38 +139,38 @@
 	})
 
 	It("gives no order of a holder that another has replaced", func() {
-		_, err := agent.Observe(ctx, 7, Question{})
+		_, err := agent.Observe(ctx, 7, Query{})
 		Expect(err).NotTo(HaveOccurred())
-		verdict, _ := agent.Command(ctx, Order{Operation: Arm, Fence: 6})
+		verdict, _ := agent.Execute(ctx, Command{Operation: Arm, Fence: 6})
 		Expect(verdict).To(Equal(Fenced))
 		Expect(engine.orders).To(BeEmpty())
 	})
 
 	It("tells a replaced holder the higher fence and nothing else", func() {
-		agent.Learn(7)
-		seen, err := agent.Observe(ctx, 6, Question{Lists: true, To: 1})
+		agent.ObserveFence(7)
+		seen, err := agent.Observe(ctx, 6, Query{Experts: true, To: 1})
 		Expect(err).NotTo(HaveOccurred())
 		Expect(seen).To(Equal(Observation{Fence: 7}))
 	})
 
 	It("tells the part of the counts that is asked for, since the holder's last look", func() {
-		look := func(ask Question, chosen ...float64) Counts {
+		look := func(ask Query, chosen ...float64) Counts {
 			engine.counts = Counts{Epoch: 1, Chosen: chosen}
 			seen, err := agent.Observe(ctx, 1, ask)
 			Expect(err).NotTo(HaveOccurred())
 			return seen.Counts
 		}
-		look(Question{}, 1, 1, 1, 1)
-		Expect(look(Question{From: 1, To: 3}, 2, 3, 4, 5)).To(Equal(Counts{Epoch: 1, From: 1, Chosen: []float64{2, 3}}))
-		Expect(look(Question{}, 9, 9, 9, 9)).To(Equal(Counts{}))
-		Expect(look(Question{From: 3, To: 9}, 9, 9, 9, 10).Chosen).To(Equal([]float64{1}))
-		Expect(look(Question{From: 7, To: 9}, 9, 9, 9, 10).Chosen).To(BeEmpty())
+		look(Query{}, 1, 1, 1, 1)
+		Expect(look(Query{From: 1, To: 3}, 2, 3, 4, 5)).To(Equal(Counts{Epoch: 1, Offset: 1, Chosen: []float64{2, 3}}))
+		Expect(look(Query{}, 9, 9, 9, 9)).To(Equal(Counts{}))
+		Expect(look(Query{From: 3, To: 9}, 9, 9, 9, 10).Chosen).To(Equal([]float64{1}))
+		Expect(look(Query{From: 7, To: 9}, 9, 9, 9, 10).Chosen).To(BeEmpty())
 	})
 
 	It("tells what was chosen since the same holder asked last", func() {
 		chosen := func(fence, epoch int64, total float64) []float64 {
 			engine.counts = Counts{Epoch: epoch, Chosen: []float64{total}}
-			seen, err := agent.Observe(ctx, fence, Question{To: 1})
+			seen, err := agent.Observe(ctx, fence, Query{To: 1})
 			Expect(err).NotTo(HaveOccurred())
 			return seen.Counts.Chosen
 		}
@@ -184,7 +184,7 @@
 
 	It("repeats an order until it's answered", func() {
 		engine.unanswered = 2
-		verdict, err := agent.Command(ctx, Order{Operation: Arm, Fence: 1})
+		verdict, err := agent.Execute(ctx, Command{Operation: Arm, Fence: 1})
 		Expect(err).NotTo(HaveOccurred())
 		Expect(verdict).To(Equal(Accepted))
 		Expect(engine.orders).To(HaveLen(3))
@@ -192,9 +192,9 @@
 
 	It("misses the holder of an open group only, from its opening on", func() {
 		silence := func() time.Duration {
-			_, err := agent.Report(ctx)
+			_, err := agent.RefreshReport(ctx)
 			Expect(err).NotTo(HaveOccurred())
-			_, silent := agent.Silent()
+			_, silent := agent.SinceHolderCall()
 			return silent
 		}
 		engine.report.Open = false
@@ -213,19 +213,19 @@
 
 	It("goes to the first that claims it", func() {
 		leases := &fakeLeases{}
-		claimed, err := Claim(ctx, leases, record, 0)
+		claimed, err := ClaimLease(ctx, leases, record, 0)
 		Expect(err).NotTo(HaveOccurred())
-		Expect(claimed).To(Equal(Claimed{Fence: 1, Newest: 1, FormerRank: -1}))
+		Expect(claimed).To(Equal(ClaimResult{Fence: 1, Newest: 1, FormerRank: -1}))
 	})
 
 	It("goes on beside records of other writers that can't be read", func() {
 		leases := &fakeLeases{}
 		leases.add("g", 5)
 		leases.records = append(leases.records, StoredRecord{Position: 1, Data: []byte("\xff{")})
-		claimed, err := Claim(ctx, leases, record, 1)
+		claimed, err := ClaimLease(ctx, leases, record, 1)
 		Expect(err).NotTo(HaveOccurred())
-		Expect(claimed).To(Equal(Claimed{Fence: 3, Newest: 3, FormerRank: 5, Unreadable: 1}))
-		held, err := Holders(ctx, leases)
+		Expect(claimed).To(Equal(ClaimResult{Fence: 3, Newest: 3, FormerRank: 5, Unreadable: 1}))
+		held, err := CurrentLeases(ctx, leases)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(held).To(HaveLen(1))
 	})
@@ -233,24 +233,24 @@
 	It("isn't claimed from somebody who has just claimed it", func() {
 		leases := &fakeLeases{}
 		leases.add("g", 5)
-		claimed, err := Claim(ctx, leases, record, 0)
+		claimed, err := ClaimLease(ctx, leases, record, 0)
 		Expect(err).NotTo(HaveOccurred())
-		Expect(claimed).To(Equal(Claimed{Newest: 1}))
+		Expect(claimed).To(Equal(ClaimResult{Newest: 1}))
 	})
 
 	It("is claimed after an agent that forgot everything has learned the history", func() {
 		leases := &fakeLeases{}
 		leases.add("g", 5)
 		leases.add("other", 1)
-		newest, err := Newest(ctx, leases, "g")
+		newest, err := CurrentLease(ctx, leases, "g")
 		Expect(err).NotTo(HaveOccurred())
-		claimed, err := Claim(ctx, leases, record, newest.Fence)
+		claimed, err := ClaimLease(ctx, leases, record, newest.Fence)
 		Expect(err).NotTo(HaveOccurred())
-		Expect(claimed).To(Equal(Claimed{Fence: 3, Newest: 3, FormerRank: 5}))
+		Expect(claimed).To(Equal(ClaimResult{Fence: 3, Newest: 3, FormerRank: 5}))
 	})
 
 	It("isn't taken as claimed when the store doesn't answer", func() {
-		_, err := Claim(ctx, &fakeLeases{err: errors.New("down")}, record, 0)
+		_, err := ClaimLease(ctx, &fakeLeases{err: errors.New("down")}, record, 0)
 		Expect(err).To(HaveOccurred())
 	})
 })
@@ -262,8 +262,8 @@
 		now := time.Unix(1000, 0)
 		see := func(a, b float64) {
 			now = now.Add(100 * time.Millisecond)
-			d.Observe(0, []float64{a, b})
-			d.EndLook(now)
+			d.Add(0, []float64{a, b})
+			d.EndSample(now)
 		}
 		see(100, 0)
 		Expect(d.Popularity()[0][0]).To(BeNumerically(">", 99))
@@ -279,13 +279,13 @@
 		shape := rebalance.Shape{Ranks: 1, Experts: 2, Layers: 2, Slots: 2}
 		d := NewDemand(shape, 100*time.Millisecond)
 		now := time.Unix(1000, 0)
-		d.Observe(0, []float64{30, 10})
-		d.Observe(2, []float64{10, 0})
-		d.EndLook(now)
+		d.Add(0, []float64{30, 10})
+		d.Add(2, []float64{10, 0})
+		d.EndSample(now)
 		Expect(d.Popularity()[0]).To(Equal([]float64{18.75, 6.25}))
 		Expect(d.Popularity()[1]).To(Equal([]float64{25, 0}))
-		d.Observe(3, []float64{10, 0})
-		d.EndLook(now)
+		d.Add(3, []float64{10, 0})
+		d.EndSample(now)
 		Expect(d.Weight()).To(Equal(50.0), "counts that belong to no set are left out")
 	})
 })
@@ -307,10 +307,10 @@
 	const experts, choices = 96, 100_000
 	shape := rebalance.Shape{Ranks: 12, Experts: experts, Layers: 1, Slots: 11}
 	now := time.Unix(1000, 0)
-	look := func(d *Demand, counts []float64) Look {
+	look := func(d *Demand, counts []float64) Sample {
 		now = now.Add(150 * time.Millisecond)
-		d.Observe(0, counts)
-		return d.EndLook(now)
+		d.Add(0, counts)
+		return d.EndSample(now)
 	}
 	steady := func() *Demand {
 		d := NewDemand(shape, DefaultPolicy.HalfLife)
--- a/internal/experts/orders.go
+++ b/internal/experts/commands.go
@@ -1,24 +1,24 @@
 package experts
 
 // RankOrder is an order to one rank.
-type RankOrder struct {
-	Rank  int
-	Order Order
+type RankCommand struct {
+	Rank    int
+	Command Command
 	// Direct orders go from the holder straight to the engine, past its agent: a VM
 	// that stops right after it gave the order must not be the engine's own.
 	Direct bool
 }
 
 // Orders returns the orders that have no confirmation yet.
-func (s *Switch) Orders() []RankOrder {
+func (s *MapSwitch) PendingCommands() []RankCommand {
 	if s.fenced {
 		return nil
 	}
 	return append(s.stageOrders(), s.strayReleases()...)
 }
 
-func (s *Switch) stageOrders() []RankOrder {
-	order := Order{Epoch: s.epoch, Fence: s.fence, Version: s.version, Pass: s.pass}
+func (s *MapSwitch) stageOrders() []RankCommand {
+	order := Command{Epoch: s.epoch, Fence: s.fence, Version: s.version, Pass: s.pass}
 	switch s.stage {
 	case StagePrepare:
 		order.Operation, order.Map = Prepare, s.lists
@@ -28,10 +28,10 @@
 		return s.ownLast(s.toUnconfirmed(order))
 	case StageHold:
 		order.Operation = Hold
-		return []RankOrder{{Rank: s.holdRank, Order: order, Direct: true}}
+		return []RankCommand{{Rank: s.holdRank, Command: order, Direct: true}}
 	case StageRelease:
 		order.Operation = Release
-		return []RankOrder{{Rank: s.holdRank, Order: order, Direct: true}}
+		return []RankCommand{{Rank: s.holdRank, Command: order, Direct: true}}
 	case StageUndo:
 		return s.disarms(order)
 	case StageBurn:
@@ -46,8 +46,8 @@
 // own and the one with the hold, then the latter, then the own. A holder whose
 // VM stops in the first of the three leaves a rank unarmed, which shows that
 // its own isn't armed either.
-func (s *Switch) ownLast(orders []RankOrder) []RankOrder {
-	var first, second []RankOrder
+func (s *MapSwitch) ownLast(orders []RankCommand) []RankCommand {
+	var first, second []RankCommand
 	for _, o := range orders {
 		switch o.Rank {
 		case s.ownRank:
@@ -68,8 +68,8 @@
 }
 
 // reachable leaves the former holder's rank out.
-func (s *Switch) reachable(orders []RankOrder) []RankOrder {
-	var others []RankOrder
+func (s *MapSwitch) reachable(orders []RankCommand) []RankCommand {
+	var others []RankCommand
 	for _, o := range orders {
 		if o.Rank != s.formerRank {
 			others = append(others, o)
@@ -79,23 +79,23 @@
 }
 
 // disarms takes back what the former holder armed.
-func (s *Switch) disarms(order Order) []RankOrder {
+func (s *MapSwitch) disarms(order Command) []RankCommand {
 	order.Operation = Disarm
-	var orders []RankOrder
+	var orders []RankCommand
 	for _, o := range s.reachable(s.toUnconfirmed(order)) {
-		if o.Order.Version = s.reports[o.Rank].Armed; o.Order.Version == 0 {
-			o.Order.Version = s.reports[o.Rank].Prepared
+		if o.Command.Version = s.reports[o.Rank].Armed; o.Command.Version == 0 {
+			o.Command.Version = s.reports[o.Rank].Prepared
 		}
 		orders = append(orders, o)
 	}
 	return orders
 }
 
-func (s *Switch) strayReleases() []RankOrder {
-	var orders []RankOrder
+func (s *MapSwitch) strayReleases() []RankCommand {
+	var orders []RankCommand
 	for rank, pass := range s.strays {
 		if pass != 0 && s.stage != StageIdle {
-			orders = append(orders, RankOrder{Rank: rank, Order: Order{
+			orders = append(orders, RankCommand{Rank: rank, Command: Command{
 				Operation: Release, Epoch: s.epoch, Fence: s.fence, Pass: pass,
 			}, Direct: true})
 		}
@@ -103,11 +103,11 @@
 	return orders
 }
 
-func (s *Switch) toUnconfirmed(order Order) []RankOrder {
-	var orders []RankOrder
+func (s *MapSwitch) toUnconfirmed(order Command) []RankCommand {
+	var orders []RankCommand
 	for rank, confirmed := range s.confirmed {
 		if !confirmed {
-			orders = append(orders, RankOrder{Rank: rank, Order: order})
+			orders = append(orders, RankCommand{Rank: rank, Command: order})
 		}
 	}
 	return orders
--- a/internal/experts/present.go
+++ b/internal/experts/currentmap.go
@@ -7,11 +7,11 @@
 // adoptLists takes the map that the ranks tell as the present one.
 func (h *Holder) adoptLists() {
 	lists, whole := h.listsBySet()
-	h.state.SetPresent(lists)
+	h.state.SetCurrentMap(lists)
 	if !whole || !h.state.Ready() {
 		return
 	}
-	placement, err := rebalance.FromLists(h.shape, lists)
+	placement, err := rebalance.NewPlacementFromLists(h.shape, lists)
 	if err != nil {
 		h.log.WithError(err).Warn("the ranks' experts make no map")
 		return
--- a/internal/experts/demand.go
+++ b/internal/experts/demand.go
@@ -60,7 +60,7 @@
 
 // Observe takes in what a rank's requests chose since the last look: counts set
 // after set, from a place on. Ranks may tell a part of the sets at a time.
-func (d *Demand) Observe(from int, chosen []float64) {
+func (d *Demand) Add(from int, chosen []float64) {
 	if from < 0 || from+len(chosen) > d.shape.Layers*d.shape.Experts {
 		return
 	}
@@ -72,19 +72,19 @@
 }
 
 // Look is what a look at the ranks said of demand.
-type Look struct {
+type Sample struct {
 	// Choices is how many there were; nothing else is known without any.
 	Choices float64
 	// Distance of the look from the estimate before it, 0 to 1: the part of the choices
 	// that went to other experts. Usual is what it was as a rule.
-	Distance, Usual float64
+	Distance, Baseline float64
 	// Jumped is set when the estimate begins anew with this look.
 	Jumped bool
 }
 
 // EndLook takes the counts of a look into the estimate.
-func (d *Demand) EndLook(now time.Time) Look {
-	look := Look{Choices: d.freshSeen, Usual: d.usual}
+func (d *Demand) EndSample(now time.Time) Sample {
+	look := Sample{Choices: d.freshSeen, Baseline: d.usual}
 	if look.Choices == 0 {
 		return look
 	}
@@ -97,7 +97,7 @@
 }
 
 // compare looks for a jump between the estimate and the fresh counts.
-func (d *Demand) compare(look *Look) {
+func (d *Demand) compare(look *Sample) {
 	if d.unsettled {
 		d.forget()
 		d.unsettled = false
--- a/internal/experts/holder.go
+++ b/internal/experts/holder.go
@@ -22,14 +22,14 @@
 }
 
 // Ranks reaches the agents of a group's ranks.
-type Ranks interface {
+type RankClient interface {
 	// Observe reads a rank's state and what else is asked for.
-	Observe(ctx context.Context, rank int, fence int64, ask Question) (Observation, error)
+	Observe(ctx context.Context, rank int, fence int64, ask Query) (Observation, error)
 	// Command gives a rank's engine an order.
 	// direct orders go past the rank's agent.
-	Command(ctx context.Context, rank int, order Order, direct bool) (Verdict, error)
+	SendCommand(ctx context.Context, rank int, order Command, direct bool) (Result, error)
 	// Room is how many bytes of counts a holder may ask for in a second.
-	Room() float64
+	CountsBandwidth() float64
 }
 
 const (
@@ -60,15 +60,15 @@
 
 // Lease is what a holder starts with.
 type Lease struct {
-	Claimed
+	ClaimResult
 	// Size is the number of the group's ranks, OwnRank that of the engine beside the holder.
 	Size, OwnRank int
 	// Engine is the published cost model of the group's engines.
 	Engine *fleet.EngineModel
 	// Pause is the longest pause between events that callers take as prompt.
-	Pause time.Duration
+	MaxEventGap time.Duration
 	// Changed is told of each new map in use; nil when nobody wants to know. It must not block.
-	Changed func(MapChange)
+	OnMapChange func(MapChange)
 }
 
 // MapChange is a switch that all ranks have made.
@@ -82,14 +82,14 @@
 
 // Holder steers one group while this process has its lease.
 type Holder struct {
-	ranks  Ranks
+	ranks  RankClient
 	lease  Lease
 	policy func() Policy
 	log    *logrus.Entry
 	now    func() time.Time
 
 	mu        sync.Mutex // guards what the concurrent calls of a round feed; a leaf
-	state     *Switch
+	state     *MapSwitch
 	demand    *Demand
 	planner   *rebalance.Planner
 	shape     rebalance.Shape
@@ -122,12 +122,12 @@
 
 // NewHolder returns a holder with a fresh lease. policy is asked before each
 // decision, since operators may change it.
-func NewHolder(ranks Ranks, lease Lease, policy func() Policy, now func() time.Time, log *logrus.Entry) *Holder {
+func NewHolder(ranks RankClient, lease Lease, policy func() Policy, now func() time.Time, log *logrus.Entry) *Holder {
 	shape := rebalance.Shape{
 		Ranks: lease.Size, Experts: lease.Engine.Experts, Layers: lease.Engine.Sets, Slots: lease.Engine.Placements,
 	}
-	state := NewSwitch(now(), lease.Fence, lease.OwnRank, lease.FormerRank, lease.Size)
-	state.SetLead(int64(lease.Size / ranksPerLead))
+	state := NewMapSwitch(now(), lease.Fence, lease.OwnRank, lease.FormerRank, lease.Size)
+	state.SetArmingPasses(int64(lease.Size / ranksPerLead))
 	return &Holder{
 		ranks: ranks, lease: lease, policy: policy, now: now, log: log.WithField("fence", lease.Fence),
 		state: state, demand: NewDemand(shape, policy().HalfLife),
@@ -164,7 +164,7 @@
 	}
 	counts := h.countsDue()
 	h.each(func(rank int) {
-		ask := Question{Lists: lists}
+		ask := Query{Experts: lists}
 		if counts {
 			ask.From, ask.To = h.window(rank)
 		}
@@ -175,12 +175,12 @@
 		defer h.mu.Unlock()
 		h.noteRank(rank, err)
 		if err != nil {
-			h.state.Missed(h.now(), rank)
+			h.state.MarkUnreachable(h.now(), rank)
 			return
 		}
 		h.highest = max(h.highest, seen.Fence)
-		h.state.Report(h.now(), rank, seen.Report)
-		h.demand.Observe(seen.Counts.From, seen.Counts.Chosen)
+		h.state.HandleReport(h.now(), rank, seen.Report)
+		h.demand.Add(seen.Counts.Offset, seen.Counts.Chosen)
 		if lists {
 			h.lists[rank] = seen.Experts
 		}
@@ -188,16 +188,16 @@
 	if lists {
 		h.adoptLists()
 	}
-	h.noteDemand(h.demand.EndLook(h.now()))
+	h.noteDemand(h.demand.EndSample(h.now()))
 }
 
 // noteDemand logs that demand has jumped.
-func (h *Holder) noteDemand(look Look) {
+func (h *Holder) noteDemand(look Sample) {
 	if !look.Jumped {
 		return
 	}
 	h.log.WithFields(logrus.Fields{
-		"epoch": h.state.Epoch(), "choices": look.Choices, "distance": look.Distance, "usual": look.Usual,
+		"epoch": h.state.Epoch(), "choices": look.Choices, "distance": look.Distance, "usual": look.Baseline,
 	}).Info("expert demand has jumped: the estimate begins anew")
 }
 
@@ -238,7 +238,7 @@
 func (h *Holder) drive(ctx context.Context) {
 	driven := map[Stage]bool{}
 	for ctx.Err() == nil {
-		orders := h.state.Orders()
+		orders := h.state.PendingCommands()
 		if len(orders) == 0 {
 			return
 		}
@@ -251,7 +251,7 @@
 		all.Wait()
 		h.timeArming(stage)
 		same := h.state.Stage() == stage && h.state.pass == pass
-		if h.state.Stage() == StagePrepare || (same && len(h.state.Orders()) >= due) {
+		if h.state.Stage() == StagePrepare || (same && len(h.state.PendingCommands()) >= due) {
 			return
 		}
 		if h.state.Stage() != stage && driven[h.state.Stage()] {
@@ -260,20 +260,20 @@
 	}
 }
 
-func (h *Holder) command(ctx context.Context, o RankOrder) {
+func (h *Holder) command(ctx context.Context, o RankCommand) {
 	each := rankTime
-	if o.Order.Operation == Prepare {
+	if o.Command.Operation == Prepare {
 		each = mapTime
 	}
 	ctx, cancel := context.WithTimeout(ctx, h.patience(commandTimeout, each))
 	defer cancel()
-	verdict, err := h.ranks.Command(ctx, o.Rank, o.Order, o.Direct)
+	verdict, err := h.ranks.SendCommand(ctx, o.Rank, o.Command, o.Direct)
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if err != nil {
 		h.log.WithError(err).WithFields(logrus.Fields{
-			"rank": o.Rank, "stage": h.state.Stage().String(), "version": o.Order.Version, "pass": o.Order.Pass,
+			"rank": o.Rank, "stage": h.state.Stage().String(), "version": o.Command.Version, "pass": o.Command.Pass,
 		}).Info("order not accepted")
 	}
-	h.state.Verdict(h.now(), o.Rank, o.Order, verdict)
+	h.state.HandleResult(h.now(), o.Rank, o.Command, verdict)
 }
--- a/internal/experts/holder_test.go
+++ b/internal/experts/holder_test.go
@@ -22,7 +22,7 @@
 
 const formerRank = 1
 
-func (r *heldRanks) Observe(_ context.Context, rank int, fence int64, _ Question) (Observation, error) {
+func (r *heldRanks) Observe(_ context.Context, rank int, fence int64, _ Query) (Observation, error) {
 	if rank == formerRank {
 		return Observation{}, errors.New("no answer")
 	}
@@ -33,7 +33,7 @@
 	return Observation{Report: report, Fence: fence, Experts: [][]int{{rank}}}, nil
 }
 
-func (r *heldRanks) Command(_ context.Context, rank int, o Order, _ bool) (Verdict, error) {
+func (r *heldRanks) SendCommand(_ context.Context, rank int, o Command, _ bool) (Result, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if o.Operation == Prepare && rank == 0 {
@@ -43,17 +43,17 @@
 	return Accepted, nil
 }
 
-func (r *heldRanks) Room() float64 { return 1e6 }
+func (r *heldRanks) CountsBandwidth() float64 { return 1e6 }
 
 // likingRanks are two ranks whose requests choose by a popularity that a spec changes.
 // They copy nothing: a switch stays in its first stage.
 type likingRanks struct {
 	mu       sync.Mutex
 	liked    []float64
-	prepared []Order
+	prepared []Command
 }
 
-func (r *likingRanks) Observe(_ context.Context, rank int, fence int64, _ Question) (Observation, error) {
+func (r *likingRanks) Observe(_ context.Context, rank int, fence int64, _ Query) (Observation, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return Observation{
@@ -63,14 +63,14 @@
 	}, nil
 }
 
-func (r *likingRanks) Command(_ context.Context, _ int, o Order, _ bool) (Verdict, error) {
+func (r *likingRanks) SendCommand(_ context.Context, _ int, o Command, _ bool) (Result, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.prepared = append(r.prepared, o)
 	return Accepted, nil
 }
 
-func (r *likingRanks) Room() float64 { return 1e6 }
+func (r *likingRanks) CountsBandwidth() float64 { return 1e6 }
 
 var _ = Describe("a holder whose ranks still copy", func() {
 	It("gives the switch up when demand has jumped, and plans for what is liked now", func() {
@@ -78,7 +78,7 @@
 		now := time.Unix(1000, 0)
 		ranks := &likingRanks{liked: []float64{9000, 400, 300, 300}}
 		lease := Lease{
-			Claimed: Claimed{Fence: 2, Newest: 2, FormerRank: -1}, Size: 2,
+			ClaimResult: ClaimResult{Fence: 2, Newest: 2, FormerRank: -1}, Size: 2,
 			Engine: &fleet.EngineModel{Experts: 4, Sets: 1, Placements: 3, ExpertShare: 1, CopyTime: 400 * time.Millisecond},
 		}
 		h := NewHolder(ranks, lease, func() Policy { return DefaultPolicy }, func() time.Time { return now }, logrus.NewEntry(logger))
@@ -111,7 +111,7 @@
 		now := time.Unix(1000, 0)
 		ranks := &heldRanks{}
 		lease := Lease{
-			Claimed: Claimed{Fence: 2, Newest: 2, FormerRank: formerRank}, Size: 3,
+			ClaimResult: ClaimResult{Fence: 2, Newest: 2, FormerRank: formerRank}, Size: 3,
 			Engine: &fleet.EngineModel{Experts: 3, Sets: 1, Placements: 2},
 		}
 		h := NewHolder(ranks, lease, func() Policy { return DefaultPolicy }, func() time.Time { return now }, logrus.NewEntry(logger))
--- a/internal/experts/lease.go
+++ b/internal/experts/lease.go
@@ -39,7 +39,7 @@
 }
 
 // Held is a lease as its newest record tells it.
-type Held struct {
+type LeaseState struct {
 	LeaseRecord
 	Fence int64
 	// Unreadable counts the records of the history that can't be read: other writers may
@@ -48,38 +48,38 @@
 }
 
 // Newest returns the newest lease in a group's history; its fence is 0 when there is none.
-func Newest(ctx context.Context, store LeaseStore, group string) (Held, error) {
+func CurrentLease(ctx context.Context, store LeaseStore, group string) (LeaseState, error) {
 	_, records, err := store.ReadLeases(ctx, 0)
 	if err != nil {
-		return Held{}, err
+		return LeaseState{}, err
 	}
 	return newestOf(records, group), nil
 }
 
 // Holders returns the newest lease of each group in the history, by group.
-func Holders(ctx context.Context, store LeaseStore) ([]Held, error) {
+func CurrentLeases(ctx context.Context, store LeaseStore) ([]LeaseState, error) {
 	_, records, err := store.ReadLeases(ctx, 0)
 	if err != nil {
 		return nil, err
 	}
-	newest := map[string]Held{}
+	newest := map[string]LeaseState{}
 	for _, r := range records {
 		var lease LeaseRecord
 		if err := json.Unmarshal(r.Data, &lease); err != nil {
 			continue // nobody's lease
 		}
-		newest[lease.Group] = Held{LeaseRecord: lease, Fence: fenceOf(r.Position)}
+		newest[lease.Group] = LeaseState{LeaseRecord: lease, Fence: fenceOf(r.Position)}
 	}
 	held := slices.Collect(maps.Values(newest))
-	slices.SortFunc(held, func(a, b Held) int { return strings.Compare(a.Group, b.Group) })
+	slices.SortFunc(held, func(a, b LeaseState) int { return strings.Compare(a.Group, b.Group) })
 	return held, nil
 }
 
 // newestOf returns the newest lease of a group among records, or one with fence 0 and
 // rank -1.
-func newestOf(records []StoredRecord, group string) Held {
+func newestOf(records []StoredRecord, group string) LeaseState {
 	unreadable := 0
-	newest := Held{LeaseRecord: LeaseRecord{Group: group, Rank: -1}}
+	newest := LeaseState{LeaseRecord: LeaseRecord{Group: group, Rank: -1}}
 	for _, r := range records {
 		var lease LeaseRecord
 		if err := json.Unmarshal(r.Data, &lease); err != nil {
@@ -87,7 +87,7 @@
 			continue
 		}
 		if lease.Group == group {
-			newest = Held{LeaseRecord: lease, Fence: fenceOf(r.Position)}
+			newest = LeaseState{LeaseRecord: lease, Fence: fenceOf(r.Position)}
 		}
 	}
 	newest.Unreadable = unreadable
@@ -95,7 +95,7 @@
 }
 
 // Claimed is what became of a claim.
-type Claimed struct {
+type ClaimResult struct {
 	// Fence is the new lease's fencing number, or 0 when there is none.
 	Fence int64
 	// Newest is the highest fencing number in the history.
@@ -109,24 +109,24 @@
 // Claim tries to become the holder of a group. knownFence is the highest number
 // that is known: a newer one in the history means that somebody else has
 // claimed since, and is given the time to call.
-func Claim(ctx context.Context, store LeaseStore, record LeaseRecord, knownFence int64) (Claimed, error) {
+func ClaimLease(ctx context.Context, store LeaseStore, record LeaseRecord, knownFence int64) (ClaimResult, error) {
 	end, records, err := store.ReadLeases(ctx, storelog.Position(max(knownFence-1, 0)))
 	if err != nil {
-		return Claimed{}, err
+		return ClaimResult{}, err
 	}
 	newest := newestOf(records, record.Group)
 	if newest.Fence > knownFence {
-		return Claimed{Newest: newest.Fence, Unreadable: newest.Unreadable}, nil
+		return ClaimResult{Newest: newest.Fence, Unreadable: newest.Unreadable}, nil
 	}
 	data, err := json.Marshal(record)
 	if err != nil {
-		return Claimed{}, errors.Wrap(err, "lease")
+		return ClaimResult{}, errors.Wrap(err, "lease")
 	}
 	claimed, err := store.AppendLease(ctx, end, data)
 	if err != nil || !claimed {
-		return Claimed{Newest: newest.Fence}, err
+		return ClaimResult{Newest: newest.Fence}, err
 	}
-	return Claimed{Fence: fenceOf(end), Newest: fenceOf(end), FormerRank: newest.Rank, Unreadable: newest.Unreadable}, nil
+	return ClaimResult{Fence: fenceOf(end), Newest: fenceOf(end), FormerRank: newest.Rank, Unreadable: newest.Unreadable}, nil
 }
 
 // fenceOf returns the fencing number of a position: positions begin at 0, numbers at 1. With
@@ -141,4 +141,4 @@
 )
 
 // Silence is how long the agent of a rank waits for a holder before it claims.
-func Silence(rank int) time.Duration { return silenceBase + time.Duration(rank)*silenceStep }
+func ClaimDelay(rank int) time.Duration { return silenceBase + time.Duration(rank)*silenceStep }
--- a/internal/experts/lease_eras_test.go
+++ b/internal/experts/lease_eras_test.go
@@ -58,7 +58,7 @@
 		store, known, highest := &eraLeases{era: rapid.Int64Range(0, 1).Draw(t, "first era")}, map[string]int64{}, int64(0)
 		claim := func(t *rapid.T) {
 			holder := rapid.SampledFrom([]string{"h1", "h2", "h3"}).Draw(t, "holder")
-			claimed, err := Claim(context.Background(), store, LeaseRecord{Group: "g", Holder: holder}, known[holder])
+			claimed, err := ClaimLease(context.Background(), store, LeaseRecord{Group: "g", Holder: holder}, known[holder])
 			switch {
 			case err != nil:
 			case claimed.Fence > 0 && claimed.Fence <= highest:
--- a/internal/experts/lease_property_test.go
+++ b/internal/experts/lease_property_test.go
@@ -51,7 +51,7 @@
 			holder := rapid.SampledFrom([]string{"h1", "h2", "h3"}).Draw(t, "holder")
 			group := rapid.SampledFrom([]string{"g", "other"}).Draw(t, "group")
 			store.lose = rapid.Bool().Draw(t, "answer lost")
-			claimed, err := Claim(context.Background(), store, LeaseRecord{Group: group, Holder: holder}, known[holder+group])
+			claimed, err := ClaimLease(context.Background(), store, LeaseRecord{Group: group, Holder: holder}, known[holder+group])
 			if group != "g" {
 				continue
 			}
@@ -78,8 +78,8 @@
 	})
 }
 
-func newestHeld(t *rapid.T, store LeaseStore, group string) Held {
-	all, err := Holders(context.Background(), store)
+func newestHeld(t *rapid.T, store LeaseStore, group string) LeaseState {
+	all, err := CurrentLeases(context.Background(), store)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -88,5 +88,5 @@
 			return held
 		}
 	}
-	return Held{}
+	return LeaseState{}
 }
--- a/internal/experts/model_engine_test.go
+++ b/internal/experts/model_engine_test.go
@@ -13,11 +13,11 @@
 // lateOrder has had no answer and is carried out later.
 type lateOrder struct {
 	rank  int
-	order Order
+	order Command
 }
 
 // apply carries out an order at an engine.
-func (m *modelState) apply(rank int, o Order, checkFence, checkEpoch bool) Verdict {
+func (m *modelState) apply(rank int, o Command, checkFence, checkEpoch bool) Result {
 	e := &m.engines[rank]
 	if checkFence {
 		if o.Fence < e.fence {
--- a/internal/experts/model_test.go
+++ b/internal/experts/model_test.go
@@ -31,7 +31,7 @@
 	epoch    int64
 	pass     int64
 	late     []lateOrder
-	holders  [2]*Switch
+	holders  [2]*MapSwitch
 	began    [2]int
 	reformed bool
 	// cutOff is set while the first holder's VM can't be reached by the second; cuts
@@ -46,7 +46,7 @@
 
 func newModel() *modelState {
 	m := &modelState{epoch: 1}
-	m.holders[0] = NewSwitch(clock(0).Add(-time.Hour), 1, 0, -1, modelRanks)
+	m.holders[0] = NewMapSwitch(clock(0).Add(-time.Hour), 1, 0, -1, modelRanks)
 	return m
 }
 
@@ -62,7 +62,7 @@
 	return &c
 }
 
-func cloneSwitch(s *Switch) *Switch {
+func cloneSwitch(s *MapSwitch) *MapSwitch {
 	c := *s
 	c.confirmed = append([]bool(nil), s.confirmed...)
 	c.reports = append([]RankReport(nil), s.reports...)
@@ -99,11 +99,11 @@
 		return
 	}
 	m.heard[rank] = max(m.heard[rank], s.fence)
-	s.Report(clock(m.now), rank, m.report(rank))
+	s.HandleReport(clock(m.now), rank, m.report(rank))
 	bad.settle(s)
 }
 
-func (bad *mutant) settle(s *Switch) {
+func (bad *mutant) settle(s *MapSwitch) {
 	if bad.after != nil {
 		bad.after(s)
 	}
@@ -111,27 +111,27 @@
 
 // command sends one order of a holder. answered tells whether the answer comes
 // back; if not, the order is carried out now or later.
-func (m *modelState) command(h int, o RankOrder, answered, later bool, bad *mutant) {
+func (m *modelState) command(h int, o RankCommand, answered, later bool, bad *mutant) {
 	s := m.holders[h]
 	verdict := Fenced
-	if o.Direct || o.Order.Fence >= m.heard[o.Rank] || bad.deaf {
+	if o.Direct || o.Command.Fence >= m.heard[o.Rank] || bad.deaf {
 		if !o.Direct {
-			m.heard[o.Rank] = max(m.heard[o.Rank], o.Order.Fence)
+			m.heard[o.Rank] = max(m.heard[o.Rank], o.Command.Fence)
 		}
 		if later {
-			m.late = append(m.late, lateOrder{o.Rank, o.Order})
-			verdict = Unanswered
+			m.late = append(m.late, lateOrder{o.Rank, o.Command})
+			verdict = NoResponse
 		} else {
-			verdict = m.apply(o.Rank, o.Order, !bad.deaf, !bad.noEpoch)
+			verdict = m.apply(o.Rank, o.Command, !bad.deaf, !bad.noEpoch)
 		}
 	}
 	if !answered {
-		verdict = Unanswered
+		verdict = NoResponse
 	}
 	if bad.verdict != nil {
-		verdict = bad.verdict(o.Order, verdict)
+		verdict = bad.verdict(o.Command, verdict)
 	}
-	s.Verdict(clock(m.now), o.Rank, o.Order, verdict)
+	s.HandleResult(clock(m.now), o.Rank, o.Command, verdict)
 	bad.settle(s)
 }
 
@@ -163,7 +163,7 @@
 	}
 	if m.holders[1] == nil {
 		add("takeover", func(m *modelState) {
-			m.holders[1] = NewSwitch(clock(m.now).Add(-reportLag), 2, 1, 0, modelRanks)
+			m.holders[1] = NewMapSwitch(clock(m.now).Add(-reportLag), 2, 1, 0, modelRanks)
 		})
 	}
 	if !m.reformed && m.pass > 1 {
@@ -189,7 +189,7 @@
 			if h == 1 && rank == 0 && m.cutOff {
 				if !s.missed[0] {
 					add("holder 1 misses 0", func(m *modelState) {
-						m.holders[1].Missed(clock(m.now), 0)
+						m.holders[1].MarkUnreachable(clock(m.now), 0)
 						bad.settle(m.holders[1])
 					})
 				}
@@ -202,15 +202,15 @@
 		if s.Ready() && m.began[h] < 2 {
 			add(fmt.Sprint("holder ", h, " begins"), func(m *modelState) {
 				m.began[h]++
-				m.holders[h].Begin(nil)
+				m.holders[h].Start(nil)
 				bad.settle(m.holders[h])
 			})
 		}
-		for _, o := range s.Orders() {
+		for _, o := range s.PendingCommands() {
 			if h == 1 && o.Rank == 0 && m.cutOff {
 				continue
 			}
-			name := fmt.Sprint("holder ", h, " orders ", o.Rank, " ", o.Order.Operation, " v", o.Order.Version, " p", o.Order.Pass)
+			name := fmt.Sprint("holder ", h, " orders ", o.Rank, " ", o.Command.Operation, " v", o.Command.Version, " p", o.Command.Pass)
 			add(name, func(m *modelState) { m.command(h, o, true, false, bad) })
 			if len(m.late) < modelLate && s.stage != StagePrepare {
 				add(name+", late", func(m *modelState) { m.command(h, o, false, true, bad) })
@@ -302,7 +302,7 @@
 			t.Fatalf("two maps in one pass:\n%s", strings.Join(trace, "\n"))
 		}
 		if m.holders[1] == nil {
-			m.holders[1] = NewSwitch(clock(m.now).Add(-reportLag), 2, 1, 0, modelRanks)
+			m.holders[1] = NewMapSwitch(clock(m.now).Add(-reportLag), 2, 1, 0, modelRanks)
 		}
 		m.cutOff = false
 		for len(m.late) > 0 {
@@ -331,9 +331,9 @@
 				return true
 			}
 			done++
-			s.Begin(nil)
+			s.Start(nil)
 		}
-		for _, o := range s.Orders() {
+		for _, o := range s.PendingCommands() {
 			m.command(1, o, true, false, none)
 		}
 		held := false
--- a/internal/experts/planning.go
+++ b/internal/experts/planning.go
@@ -23,11 +23,11 @@
 func (h *Holder) plan() {
 	if h.state.Stage() == StagePrepare && h.now().Sub(h.begun) > prepareTimeout {
 		h.log.WithField("version", h.state.Version()).Warn("switch given up: not prepared in time")
-		h.state.Abandon()
+		h.state.Abort()
 	}
 	if h.outrun() {
 		h.log.WithField("version", h.state.Version()).Info("switch given up: demand has jumped since it was planned")
-		h.state.Abandon()
+		h.state.Abort()
 	}
 	if h.planned != nil && h.state.Stage() == StageIdle {
 		h.finishSwitch()
@@ -46,9 +46,9 @@
 		return
 	}
 	moves := h.planner.Plan(h.placement, popularity, speeds, rebalance.Options{
-		SkewWeight: 1, CostWeight: policy.MovePrice,
-		MaxMoves: movesAtOnce, MaxNewPerRank: h.lease.Engine.NewPerOrder, GoodEnough: 1 + (trigger-1)*policy.TargetPart,
-		Times: h.times(),
+		SkewWeight: 1, CostWeight: policy.MoveCost,
+		MaxMoves: movesAtOnce, MaxNewPerRank: h.lease.Engine.NewPerOrder, TargetRatio: 1 + (trigger-1)*policy.TargetFraction,
+		Timing: h.times(),
 	})
 	if len(moves) == 0 {
 		return
@@ -57,8 +57,8 @@
 	next.Apply(moves)
 	after := next.Skew(popularity, speeds)
 	h.planned, h.moves, h.begun = next, len(moves), h.now()
-	h.copies = h.placement.MostLoads(next)
-	h.state.Begin(next.Lists())
+	h.copies = h.placement.MaxLoads(next)
+	h.state.Start(next.Lists())
 	h.log.WithFields(logrus.Fields{
 		"version": h.state.Version(), "epoch": h.state.Epoch(), "moves": len(moves), "skew": before, "trigger": trigger, "planned_skew": after,
 		"copies": h.copies, "switch_ms": h.switchTime.Milliseconds(),
@@ -90,8 +90,8 @@
 
 // times are what a plan costs in time, by the engine's description and what the last
 // switches took.
-func (h *Holder) times() rebalance.Times {
-	return rebalance.Times{Copy: h.lease.Engine.CopyTime, Switch: h.switchTime}
+func (h *Holder) times() rebalance.Timing {
+	return rebalance.Timing{Copy: h.lease.Engine.CopyTime, Switch: h.switchTime}
 }
 
 // timeSwitch measures what a switch takes besides its copies.
@@ -102,10 +102,10 @@
 
 // tellChange tells who asked for it that a new map is in use.
 func (h *Holder) tellChange() {
-	if h.lease.Changed == nil {
+	if h.lease.OnMapChange == nil {
 		return
 	}
-	h.lease.Changed(MapChange{
+	h.lease.OnMapChange(MapChange{
 		Fence: h.lease.Fence, Epoch: h.state.Epoch(), Version: h.state.Version(), Pass: h.state.pass, Moves: h.moves,
 	})
 }
--- a/internal/experts/verdicts.go
+++ b/internal/experts/results.go
@@ -5,18 +5,18 @@
 )
 
 // Verdict takes in what a rank's engine said to an order.
-func (s *Switch) Verdict(now time.Time, rank int, order Order, verdict Verdict) {
+func (s *MapSwitch) HandleResult(now time.Time, rank int, order Command, verdict Result) {
 	if verdict == Fenced {
 		s.fenced = true
 		return
 	}
-	if verdict == Unanswered && (order.Operation == Arm || order.Operation == Hold) {
+	if verdict == NoResponse && (order.Operation == Arm || order.Operation == Hold) {
 		s.unanswered++
 	}
-	if verdict != Unanswered && order.Operation == Release && s.strays[rank] == order.Pass {
+	if verdict != NoResponse && order.Operation == Release && s.strays[rank] == order.Pass {
 		s.strays[rank] = 0
 	}
-	if verdict == Unanswered || !s.current(rank, order) {
+	if verdict == NoResponse || !s.current(rank, order) {
 		return
 	}
 	switch order.Operation {
@@ -38,7 +38,7 @@
 }
 
 // current tells whether a rank's order belongs to the present stage.
-func (s *Switch) current(rank int, order Order) bool {
+func (s *MapSwitch) current(rank int, order Command) bool {
 	if order.Epoch != s.epoch {
 		return false
 	}
@@ -64,7 +64,7 @@
 
 // prepared notes that a rank copies the experts. A rank that refuses can't be
 // brought to this map; nothing is armed, so the switch is given up.
-func (s *Switch) prepared(rank int, verdict Verdict) {
+func (s *MapSwitch) prepared(rank int, verdict Result) {
 	if verdict == Accepted || s.reports[rank].Prepared == s.version {
 		s.confirmed[rank] = true
 		return
@@ -73,7 +73,7 @@
 }
 
 // held notes the answer to a hold. A pass that has begun can't be held.
-func (s *Switch) held(verdict Verdict) {
+func (s *MapSwitch) held(verdict Result) {
 	if verdict == Accepted {
 		s.enter(StageArm)
 		return
@@ -88,7 +88,7 @@
 
 // armed notes that a rank switches at the pass. A refusal is tried again: the
 // pass is held, and other ranks may be armed.
-func (s *Switch) armed(rank int, verdict Verdict) {
+func (s *MapSwitch) armed(rank int, verdict Result) {
 	if verdict != Accepted {
 		return
 	}
@@ -101,13 +101,13 @@
 	s.enter(StageRelease)
 }
 
-func (s *Switch) released(now time.Time) {
+func (s *MapSwitch) released(now time.Time) {
 	s.releasedAt = now
 	s.enter(StageSettle)
 }
 
 // Abandon gives up a switch of which nothing is armed or held.
-func (s *Switch) Abandon() {
+func (s *MapSwitch) Abort() {
 	if s.stage == StagePrepare {
 		s.enter(StageIdle)
 	}
--- a/internal/experts/switch.go
+++ b/internal/experts/switch.go
@@ -33,7 +33,7 @@
 // The holder's own rank is armed last, and another rank has the hold (ownLast).
 // So when the VM of a holder stops, its successor can release the hold, and as
 // long as any rank isn't armed, it knows that the silent one isn't either.
-type Switch struct {
+type MapSwitch struct {
 	fence   int64
 	ownRank int
 	size    int
@@ -71,8 +71,8 @@
 
 // NewSwitch returns the protocol's state of a new holder whose own rank is
 // ownRank, in a group of a size. formerRank is that of the holder before it, or -1.
-func NewSwitch(now time.Time, fence int64, ownRank, formerRank, size int) *Switch {
-	return &Switch{
+func NewMapSwitch(now time.Time, fence int64, ownRank, formerRank, size int) *MapSwitch {
+	return &MapSwitch{
 		fence: fence, ownRank: ownRank, formerRank: formerRank, size: size, trustFrom: now.Add(reportLag),
 		missed:    make([]bool, size),
 		confirmed: make([]bool, size), reports: make([]RankReport, size), reported: make([]time.Time, size),
@@ -81,19 +81,19 @@
 }
 
 // Stage returns how far the present switch has come.
-func (s *Switch) Stage() Stage { return s.stage }
+func (s *MapSwitch) Stage() Stage { return s.stage }
 
 // Fenced tells whether an engine has seen a higher fence: this holder must stop.
-func (s *Switch) Fenced() bool { return s.fenced }
+func (s *MapSwitch) Fenced() bool { return s.fenced }
 
 // Version returns the version of the present switch, or of the last one.
-func (s *Switch) Version() int64 { return s.version }
+func (s *MapSwitch) Version() int64 { return s.version }
 
 // Epoch returns the group's epoch.
-func (s *Switch) Epoch() int64 { return s.epoch }
+func (s *MapSwitch) Epoch() int64 { return s.epoch }
 
 // Report takes in a rank's state.
-func (s *Switch) Report(now time.Time, rank int, r RankReport) {
+func (s *MapSwitch) HandleReport(now time.Time, rank int, r RankReport) {
 	if rank < 0 || rank >= s.size || r.Epoch < s.epoch {
 		return
 	}
@@ -107,14 +107,14 @@
 }
 
 // Missed notes that a rank couldn't be reached.
-func (s *Switch) Missed(now time.Time, rank int) {
+func (s *MapSwitch) MarkUnreachable(now time.Time, rank int) {
 	s.missed[rank] = !now.Before(s.trustFrom)
 	s.advance(now)
 }
 
 // startEpoch forgets everything: a group that forms anew has the default map
 // and nothing prepared, armed or held.
-func (s *Switch) startEpoch(epoch int64) {
+func (s *MapSwitch) startEpoch(epoch int64) {
 	s.epoch, s.stage = epoch, StageIdle
 	s.version, s.pass, s.lastVersion = 0, 0, 0
 	s.lists = nil
@@ -125,7 +125,7 @@
 }
 
 // complete tells whether every rank has reported recently enough to be trusted.
-func (s *Switch) complete() bool {
+func (s *MapSwitch) complete() bool {
 	for rank := range s.size {
 		if s.reported[rank].IsZero() || s.reported[rank].Before(s.trustFrom) {
 			return false
@@ -136,7 +136,7 @@
 
 // Ready tells whether a new switch may begin: the group is open, and all ranks
 // use one map with nothing armed or held.
-func (s *Switch) Ready() bool {
+func (s *MapSwitch) Ready() bool {
 	if s.stage != StageIdle || s.fenced || !s.complete() {
 		return false
 	}
@@ -149,7 +149,7 @@
 }
 
 // Begin starts the switch to a map, given as the experts by set and rank.
-func (s *Switch) Begin(lists [][][]int) {
+func (s *MapSwitch) Start(lists [][][]int) {
 	s.lists = lists
 	s.version = s.lastVersion + 1
 	s.lastVersion = s.version
@@ -160,9 +160,9 @@
 
 // SetLead tells how many passes it takes to arm all ranks, so that the next
 // switch holds a pass that is far enough ahead.
-func (s *Switch) SetLead(passes int64) { s.lead = min(passes, mostLead) }
+func (s *MapSwitch) SetArmingPasses(passes int64) { s.lead = min(passes, mostLead) }
 
-func (s *Switch) enter(stage Stage) {
+func (s *MapSwitch) enter(stage Stage) {
 	s.stage = stage
 	for rank := range s.confirmed {
 		s.confirmed[rank] = false
@@ -170,7 +170,7 @@
 }
 
 // advance moves on when the reports allow it.
-func (s *Switch) advance(now time.Time) {
+func (s *MapSwitch) advance(now time.Time) {
 	switch s.stage {
 	case StageIdle:
 		s.resolveHold(now)
@@ -201,7 +201,7 @@
 	}
 }
 
-func (s *Switch) all(ok func(RankReport) bool) bool {
+func (s *MapSwitch) all(ok func(RankReport) bool) bool {
 	for rank, r := range s.reports {
 		if s.reported[rank].IsZero() || !ok(r) {
 			return false
@@ -210,7 +210,7 @@
 	return true
 }
 
-func (s *Switch) newestPass() int64 {
+func (s *MapSwitch) newestPass() int64 {
 	newest := int64(0)
 	for _, r := range s.reports {
 		newest = max(newest, r.Pass)
--- a/internal/experts/takeover.go
+++ b/internal/experts/takeover.go
@@ -6,7 +6,7 @@
 
 // resolveHold finds a hold that nobody is going to release: of a holder that
 // died, or of an order that was carried out late.
-func (s *Switch) resolveHold(now time.Time) {
+func (s *MapSwitch) resolveHold(now time.Time) {
 	rank := s.heldRank(now)
 	if rank < 0 {
 		return
@@ -22,7 +22,7 @@
 }
 
 // heldRank returns a rank that holds a pass, or -1.
-func (s *Switch) heldRank(now time.Time) int {
+func (s *MapSwitch) heldRank(now time.Time) int {
 	for rank, r := range s.reports {
 		trusted := !s.reported[rank].IsZero() && !s.reported[rank].Before(s.trustFrom)
 		if trusted && r.Held != 0 && !s.releasedLately(now, r.Held) {
@@ -34,7 +34,7 @@
 
 // formerHolderSilent tells whether every rank has reported but that of the
 // former holder, which can't be reached.
-func (s *Switch) formerHolderSilent() bool {
+func (s *MapSwitch) formerHolderSilent() bool {
 	for rank := range s.size {
 		known := !s.reported[rank].IsZero() && !s.reported[rank].Before(s.trustFrom)
 		if rank == s.formerRank {
@@ -50,7 +50,7 @@
 
 // someUnarmed tells whether a rank that reports isn't armed. Then the former
 // holder's own rank isn't either, and it can't have released the hold.
-func (s *Switch) someUnarmed() bool {
+func (s *MapSwitch) someUnarmed() bool {
 	for rank, r := range s.reports {
 		if rank != s.formerRank && r.Armed == 0 {
 			return true
@@ -59,13 +59,13 @@
 	return false
 }
 
-func (s *Switch) releasedLately(now time.Time, pass int64) bool {
+func (s *MapSwitch) releasedLately(now time.Time, pass int64) bool {
 	return pass == s.pass && now.Sub(s.releasedAt) < staleHold
 }
 
 // stray returns a held pass that this switch doesn't hold or has released. While
 // idle, resolveHold looks at it instead: an earlier holder may have armed ranks.
-func (s *Switch) stray(now time.Time, rank int, held int64) int64 {
+func (s *MapSwitch) stray(now time.Time, rank int, held int64) int64 {
 	own := held == s.pass && rank == s.holdRank && s.stage != StageSettle
 	if held == 0 || s.stage == StageIdle || own || s.releasedLately(now, held) {
 		return 0
@@ -77,7 +77,7 @@
 // when every rank has prepared the map, and Arm may have been sent to any of
 // them since, so all are armed before the release: undoing could meet an Arm
 // that is carried out late.
-func (s *Switch) finish() {
+func (s *MapSwitch) finish() {
 	prepared := s.reports[0].Prepared
 	if prepared > s.reports[0].Map && s.all(func(r RankReport) bool { return r.Prepared == prepared }) {
 		s.version = prepared
@@ -89,7 +89,7 @@
 }
 
 // disarmed notes that a rank isn't armed. A refusal says the same.
-func (s *Switch) disarmed(rank int) {
+func (s *MapSwitch) disarmed(rank int) {
 	if s.confirmReachable(rank) {
 		s.version = s.lastVersion + 1
 		s.lastVersion = s.version
@@ -99,7 +99,7 @@
 
 // burned notes what a rank said to the version that is never used. A refusal
 // means that an Arm was carried out late, or that the rank has had the version.
-func (s *Switch) burned(rank int, verdict Verdict) {
+func (s *MapSwitch) burned(rank int, verdict Result) {
 	if verdict != Accepted {
 		s.enter(StageUndo)
 		return
@@ -112,7 +112,7 @@
 
 // confirmReachable notes a rank's confirmation. It tells whether all but the
 // former holder's have confirmed.
-func (s *Switch) confirmReachable(rank int) bool {
+func (s *MapSwitch) confirmReachable(rank int) bool {
 	s.confirmed[rank] = true
 	for other, confirmed := range s.confirmed {
 		if !confirmed && other != s.formerRank {
@@ -123,4 +123,4 @@
 }
 
 // SetPresent tells the map in use, as far as it is known.
-func (s *Switch) SetPresent(lists [][][]int) { s.present = lists }
+func (s *MapSwitch) SetCurrentMap(lists [][][]int) { s.present = lists }
--- a/internal/experts/timing.go
+++ b/internal/experts/timing.go
@@ -40,7 +40,7 @@
 	case before == StageHold && h.state.Stage() == StageArm:
 		h.armedFrom = now
 	case before == StageArm && h.state.Stage() != StageArm && h.passTime > 0 && !h.armedFrom.IsZero():
-		h.state.SetLead(lead(now.Sub(h.armedFrom), h.passTime))
+		h.state.SetArmingPasses(lead(now.Sub(h.armedFrom), h.passTime))
 		h.armedFrom = time.Time{}
 	}
 }
@@ -56,7 +56,7 @@
 
 // pace is the time between two looks at all ranks.
 func (h *Holder) pace() time.Duration {
-	pace := h.policy().ObservePace
+	pace := h.policy().ObserveInterval
 	if h.state.Stage() != StageIdle {
 		pace = stagePace
 	}
@@ -83,7 +83,7 @@
 // would fill the holder's link.
 func (h *Holder) countsDue() bool {
 	bytes := countBytes * float64(h.shape.Ranks*h.shape.Layers*h.shape.Experts) / float64(h.windows())
-	apart := time.Duration(bytes / max(h.ranks.Room(), 1) * float64(time.Second))
+	apart := time.Duration(bytes / max(h.ranks.CountsBandwidth(), 1) * float64(time.Second))
 	if h.now().Sub(h.countedAt) < apart {
 		return false
 	}
--- a/internal/experts/types.go
+++ b/internal/experts/types.go
@@ -20,9 +20,9 @@
 	// Queued and Running count the rank's requests.
 	Queued, Running int
 	// Pace over 1 means that the rank is slower than usual.
-	Pace float64
+	Slowdown float64
 	// Born tells the engine's starts apart; 0 where it doesn't tell.
-	Born int64
+	StartID int64
 }
 
 // Counts says how often a rank's requests chose each expert.
@@ -30,12 +30,12 @@
 	Pass  int64
 	Epoch int64
 	// Born tells the engine's starts apart, each of which counts from 0.
-	Born int64
+	StartID int64
 	// Chosen is ordered by set, then by expert, and begins with the place From: since
 	// the rank's start as the engine tells it, since the holder's last look as the
 	// agent does.
 	Chosen []float64
-	From   int
+	Offset int
 }
 
 // Operation is what an order asks an engine to do.
@@ -61,7 +61,7 @@
 }
 
 // Order is an order to one rank's engine.
-type Order struct {
+type Command struct {
 	Operation Operation
 	Epoch     int64
 	// Version of the map, for Prepare, Arm and Disarm.
@@ -75,12 +75,12 @@
 }
 
 // Verdict is what an engine said to an order.
-type Verdict int
+type Result int
 
 // The verdicts.
 const (
 	// Unanswered orders may be carried out, now or seconds later.
-	Unanswered Verdict = iota
+	NoResponse Result = iota
 	// Accepted orders have begun or are done.
 	Accepted
 	// Refused orders don't fit the engine's state.
@@ -90,6 +90,6 @@
 )
 
 // String names the verdict for logs.
-func (v Verdict) String() string {
+func (v Result) String() string {
 	return [...]string{"unanswered", "accepted", "refused", "fenced"}[v]
 }
--- a/internal/group/directory.go
+++ b/internal/group/directory.go
@@ -18,14 +18,14 @@
 }
 
 // Place implements ranks.Directory.
-func (d Directory) Place(group string, rank int) (ranks.Place, error) {
+func (d Directory) Endpoints(group string, rank int) (ranks.Endpoints, error) {
 	for _, object := range d.Replica.View().List(config.KindBackendServer) {
 		server := object.BackendServer
 		if server.Group == group && server.Rank == rank {
-			return ranks.Place{Server: object.Name, Agent: server.Control, Engine: server.Engine, Fences: !server.IgnoresFence}, nil
+			return ranks.Endpoints{Server: object.Name, Agent: server.Control, Engine: server.Engine, ChecksFence: !server.IgnoresFence}, nil
 		}
 	}
-	return ranks.Place{}, errors.Errorf("no backend server is configured as rank %d of group %s", rank, group)
+	return ranks.Endpoints{}, errors.Errorf("no backend server is configured as rank %d of group %s", rank, group)
 }
 
 // defaultMaxLoads is how many experts of a layer a rank may load for one map
@@ -33,10 +33,10 @@
 const defaultMaxLoads = 2
 
 // Terms implements ranks.Directory.
-func (d Directory) Terms(name string) (ranks.Terms, bool) {
+func (d Directory) Parameters(name string) (ranks.Parameters, bool) {
 	object := d.Replica.View().Get(config.KindGroup, name)
 	if object == nil {
-		return ranks.Terms{}, false
+		return ranks.Parameters{}, false
 	}
 	spec := object.Group
 	engine := &fleet.EngineModel{
@@ -48,7 +48,7 @@
 	policy := experts.DefaultPolicy
 	policy.Pinned = spec.PinnedMap
 	if spec.SkewWeight > 0 && spec.CostWeight > 0 {
-		policy.MovePrice = spec.CostWeight / spec.SkewWeight
+		policy.MoveCost = spec.CostWeight / spec.SkewWeight
 	}
-	return ranks.Terms{Engine: engine, Policy: policy}, true
+	return ranks.Parameters{Engine: engine, Policy: policy}, true
 }
--- a/internal/group/trail.go
+++ b/internal/group/trail.go
@@ -34,12 +34,12 @@
 }
 
 // Claimed implements ranks.Trail.
-func (t *Trail) Claimed(group string, fence int64) {
+func (t *Trail) LeaseClaimed(group string, fence int64) {
 	t.note(config.AuditLease, group, fmt.Sprintf("fence %d", fence))
 }
 
 // Changed implements ranks.Trail.
-func (t *Trail) Changed(group string, change experts.MapChange) {
+func (t *Trail) MapChanged(group string, change experts.MapChange) {
 	t.note(config.AuditMap, group, fmt.Sprintf("map %d from pass %d of epoch %d, %d experts loaded or dropped, fence %d",
 		change.Version, change.Pass, change.Epoch, change.Moves, change.Fence))
 }
--- a/internal/loadfeed/loadfeed.go
+++ b/internal/loadfeed/loadfeed.go
@@ -58,7 +58,7 @@
 	return s.sendTo(entries, &peerrpc.LoadReport{
 		Running: int32(report.Running), Queued: int32(report.Queued),
 		Group: report.Group, Epoch: report.Epoch, Rank: int32(report.Rank), Size: int32(report.Size), Open: report.Open,
-		Pace: report.Pace, Born: report.Born,
+		Pace: report.Slowdown, Born: report.StartID,
 	})
 }
 
@@ -89,7 +89,7 @@
 
 // visible is the part of a report whose change is worth a datagram.
 func visible(r experts.RankReport) experts.RankReport {
-	return experts.RankReport{Epoch: r.Epoch, Open: r.Open, Running: r.Running, Queued: r.Queued, Born: r.Born}
+	return experts.RankReport{Epoch: r.Epoch, Open: r.Open, Running: r.Running, Queued: r.Queued, StartID: r.StartID}
 }
 
 // Board takes in what the agents tell.
--- a/internal/loadfeed/loadfeed_test.go
+++ b/internal/loadfeed/loadfeed_test.go
@@ -91,7 +91,7 @@
 }
 
 var _ = Describe("the load feed", func() {
-	report := experts.RankReport{Group: "g", Epoch: 3, Size: 2, Open: true, Running: 4, Queued: 1, Pace: 1.5}
+	report := experts.RankReport{Group: "g", Epoch: 3, Size: 2, Open: true, Running: 4, Queued: 1, Slowdown: 1.5}
 
 	It("tells entries an engine's load and group, and outlives datagrams that aren't reports", func() {
 		conn, err := net.ListenPacket("udp4", "127.0.0.1:0")
--- a/internal/platformdaemon/agent.go
+++ b/internal/platformdaemon/agent.go
@@ -61,7 +61,7 @@
 	client := &http.Client{Transport: upstream.NewTransport(), Timeout: controlTimeout}
 	engines := platform.NewEngines(upstream.NewTransport())
 	agent := experts.NewAgent(engines, s.LocalServer, time.Now, log)
-	options := ranks.Options{Daemon: s.Daemon, IP: s.IP, Room: countRoom(s.LinkMbps)}
+	options := ranks.Options{Daemon: s.Daemon, IP: s.IP, CountsBandwidth: countRoom(s.LinkMbps)}
 	store := platform.NewStore(s.Store, upstream.NewTransport())
 	daemon.WatchEra(store.Eras(), log)
 	exchange := membership.NewExchange(members, membership.Peer{Zone: s.Zone}, s.Seeds, client, log)
@@ -195,7 +195,7 @@
 func (a *AgentDaemon) report(ctx context.Context) (experts.RankReport, error) {
 	ctx, cancel := context.WithTimeout(ctx, engineTimeout)
 	defer cancel()
-	report, err := a.agent.Report(ctx)
+	report, err := a.agent.RefreshReport(ctx)
 	if err != nil {
 		a.log.WithError(err).Debug("engine not reached")
 	}
--- a/internal/platformdaemon/directory.go
+++ b/internal/platformdaemon/directory.go
@@ -20,10 +20,10 @@
 
 // Place implements ranks.Directory. Of several servers that registered as one
 // rank, that of the newest epoch counts.
-func (d directory) Place(group string, rank int) (ranks.Place, error) {
+func (d directory) Endpoints(group string, rank int) (ranks.Endpoints, error) {
 	servers := d.members.Servers()
 	if servers == nil {
-		return ranks.Place{}, errors.New("no servers known yet")
+		return ranks.Endpoints{}, errors.New("no servers known yet")
 	}
 	var found *fleet.Server
 	for _, server := range servers.All() {
@@ -36,29 +36,29 @@
 		}
 	}
 	if found == nil {
-		return ranks.Place{}, errors.Errorf("no server of group %s has rank %d", group, rank)
+		return ranks.Endpoints{}, errors.Errorf("no server of group %s has rank %d", group, rank)
 	}
 	address, err := netip.ParseAddrPort(found.Address)
 	if err != nil {
-		return ranks.Place{}, errors.Wrapf(err, "server %s", found.ID)
+		return ranks.Endpoints{}, errors.Wrapf(err, "server %s", found.ID)
 	}
 	agent := joinPort(address.Addr().String(), portOf(d.settings, rankPort))
-	return ranks.Place{Server: found.ID, Agent: agent, Engine: found.Address, Fences: d.settings.EnginesFence}, nil
+	return ranks.Endpoints{Server: found.ID, Agent: agent, Engine: found.Address, ChecksFence: d.settings.EnginesFence}, nil
 }
 
 // Terms implements ranks.Directory. The group is that of the engine on this VM.
-func (d directory) Terms(string) (ranks.Terms, bool) {
+func (d directory) Parameters(string) (ranks.Parameters, bool) {
 	config, servers := d.members.Config(), d.members.Servers()
 	if config == nil || servers == nil {
-		return ranks.Terms{}, false
+		return ranks.Parameters{}, false
 	}
 	server := servers.At(d.settings.LocalServer)
 	if server == nil {
-		return ranks.Terms{}, false
+		return ranks.Parameters{}, false
 	}
 	service := config.Service(server.Service)
 	if service == nil || service.Engine == nil || service.Engine.Sets == 0 {
-		return ranks.Terms{}, false
+		return ranks.Parameters{}, false
 	}
-	return ranks.Terms{Engine: service.Engine, Pause: config.EventPause(service.Name), Policy: experts.DefaultPolicy}, true
+	return ranks.Parameters{Engine: service.Engine, MaxEventGap: config.EventPause(service.Name), Policy: experts.DefaultPolicy}, true
 }
--- a/internal/ranks/client.go
+++ b/internal/ranks/client.go
@@ -31,7 +31,7 @@
 	mu sync.Mutex // a leaf
 	// places is where each rank was last: registrations lapse while a zone is cut off,
 	// and come back seconds after the rank itself.
-	places map[int]Place
+	places map[int]Endpoints
 	// maps bounds the maps that are on their way at once.
 	maps *semaphore.Weighted
 	// told is the map of the last prepare order, and difference what was sent of it.
@@ -71,12 +71,12 @@
 }
 
 // Room implements experts.Ranks.
-func (c *client) Room() float64 { return c.room }
+func (c *client) CountsBandwidth() float64 { return c.room }
 
 // place returns where a rank is, or was last. Who is there tells its own rank, so
 // an address that has changed hands shows.
-func (c *client) place(rank int) (Place, error) {
-	at, err := c.directory.Place(c.group, rank)
+func (c *client) place(rank int) (Endpoints, error) {
+	at, err := c.directory.Endpoints(c.group, rank)
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if err == nil {
@@ -86,11 +86,11 @@
 	if last, known := c.places[rank]; known {
 		return last, nil
 	}
-	return Place{}, err
+	return Endpoints{}, err
 }
 
 // check tells whether a report is that of a rank of this group.
-func (c *client) check(rank int, at Place, report experts.RankReport) error {
+func (c *client) check(rank int, at Endpoints, report experts.RankReport) error {
 	if report.Group != c.group || report.Rank != rank {
 		return errors.Errorf("server %s is rank %d of group %q, not rank %d of %s", at.Server, report.Rank, report.Group, rank, c.group)
 	}
@@ -134,26 +134,26 @@
 
 // probe calls a silent agent in the background, so that it hears of its holder as
 // soon as it can, and is asked first again.
-func (c *client) probe(ctx context.Context, rank int, at Place, fence int64) {
+func (c *client) probe(ctx context.Context, rank int, at Endpoints, fence int64) {
 	if !c.beginProbe(rank) {
 		return
 	}
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), probeTimeout)
 	go func() {
 		defer cancel()
-		_, err := c.observeAgent(ctx, at, fence, experts.Question{})
+		_, err := c.observeAgent(ctx, at, fence, experts.Query{})
 		c.endProbe(rank, err == nil)
 	}()
 }
 
 // agent returns a client of the agent at a place.
-func (c *client) agent(at Place) peerrpc.Ranks {
+func (c *client) agent(at Endpoints) peerrpc.Ranks {
 	return peerrpc.NewRanksProtobufClient("http://"+at.Agent, c.http)
 }
 
 // Observe implements experts.Ranks. When the rank's agent can't be reached, its
 // engine is asked for its state alone.
-func (c *client) Observe(ctx context.Context, rank int, fence int64, ask experts.Question) (experts.Observation, error) {
+func (c *client) Observe(ctx context.Context, rank int, fence int64, ask experts.Query) (experts.Observation, error) {
 	if rank == c.ownRank {
 		return c.local.Observe(ctx, fence, ask)
 	}
@@ -178,17 +178,17 @@
 	if err == nil {
 		err = c.check(rank, at, report)
 	}
-	if err == nil && ask.Lists {
+	if err == nil && ask.Experts {
 		seen.Experts, err = c.engine.Experts(ctx, at.Engine)
 	}
 	return seen, err
 }
 
-func (c *client) observeAgent(ctx context.Context, at Place, fence int64, ask experts.Question) (experts.Observation, error) {
+func (c *client) observeAgent(ctx context.Context, at Endpoints, fence int64, ask experts.Query) (experts.Observation, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.patience(ctx))
 	defer cancel()
 	answer, err := c.link.call(ctx, at.Agent, &peerrpc.RankCall{Observe: &peerrpc.ObserveRequest{
-		Fence: fence, Lists: ask.Lists, CountsFrom: int32(ask.From), CountsTo: int32(ask.To),
+		Fence: fence, Lists: ask.Experts, CountsFrom: int32(ask.From), CountsTo: int32(ask.To),
 	}})
 	if err != nil {
 		return experts.Observation{}, errors.Wrapf(err, "agent of server %s", at.Server)
@@ -198,7 +198,7 @@
 		return experts.Observation{}, errors.Errorf("agent of server %s: %s", at.Server, reply.GetFailure())
 	}
 	seen := experts.Observation{
-		Report: decodeState(reply.GetState()), Fence: reply.GetFence(), Counts: experts.Counts{From: ask.From},
+		Report: decodeState(reply.GetState()), Fence: reply.GetFence(), Counts: experts.Counts{Offset: ask.From},
 	}
 	for _, n := range reply.GetChosen() {
 		seen.Counts.Chosen = append(seen.Counts.Chosen, float64(n))
@@ -212,34 +212,34 @@
 // Command implements experts.Ranks. When the rank's agent can't be reached, the
 // order goes straight to the engine, if that refuses old fences itself. Without
 // that, only the agent keeps a former holder's orders away.
-func (c *client) Command(ctx context.Context, rank int, order experts.Order, direct bool) (experts.Verdict, error) {
+func (c *client) SendCommand(ctx context.Context, rank int, order experts.Command, direct bool) (experts.Result, error) {
 	if rank == c.ownRank {
-		return c.local.Command(ctx, order)
+		return c.local.Execute(ctx, order)
 	}
 	at, err := c.place(rank)
 	if err != nil {
-		return experts.Unanswered, err
+		return experts.NoResponse, err
 	}
-	if at.Fences && (direct || c.isSilent(rank)) {
-		return experts.Repeat(ctx, remoteTry, func(ctx context.Context) (experts.Verdict, error) {
-			return c.engine.Order(ctx, at.Engine, order)
+	if at.ChecksFence && (direct || c.isSilent(rank)) {
+		return experts.Retry(ctx, remoteTry, func(ctx context.Context) (experts.Result, error) {
+			return c.engine.Execute(ctx, at.Engine, order)
 		})
 	}
 	ctx, cancel := context.WithTimeout(ctx, c.patience(ctx))
 	defer cancel()
 	reply, err := c.commandAgent(ctx, rank, at, order)
 	if err != nil {
-		return experts.Unanswered, errors.Wrapf(err, "agent of server %s", at.Server)
+		return experts.NoResponse, errors.Wrapf(err, "agent of server %s", at.Server)
 	}
 	if reply.GetDetail() != "" {
-		return experts.Verdict(reply.GetVerdict()), errors.New(reply.GetDetail())
+		return experts.Result(reply.GetVerdict()), errors.New(reply.GetDetail())
 	}
-	return experts.Verdict(reply.GetVerdict()), nil
+	return experts.Result(reply.GetVerdict()), nil
 }
 
 // commandAgent gives an agent an order as a datagram, or over HTTP when that is
 // too small for the order's map.
-func (c *client) commandAgent(ctx context.Context, rank int, at Place, order experts.Order) (*peerrpc.CommandReply, error) {
+func (c *client) commandAgent(ctx context.Context, rank int, at Endpoints, order experts.Command) (*peerrpc.CommandReply, error) {
 	request := encodeOrder(order)
 	request.Group, request.Rank = c.group, int32(rank)
 	if len(order.Map) > 0 {
@@ -265,7 +265,7 @@
 
 // differenceOf returns how the map of a prepare order differs from that of the
 // one before it, or from the default map. It's worked out once for all ranks.
-func (c *client) differenceOf(order experts.Order) *peerrpc.MapDifference {
+func (c *client) differenceOf(order experts.Command) *peerrpc.MapDifference {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	next := namedMap{epoch: order.Epoch, fence: order.Fence, version: order.Version, lists: order.Map}
--- a/internal/ranks/codec.go
+++ b/internal/ranks/codec.go
@@ -25,7 +25,7 @@
 	return &peerrpc.RankState{
 		Group: r.Group, Epoch: r.Epoch, Rank: int32(r.Rank), Size: int32(r.Size), Open: r.Open,
 		Pass: r.Pass, Map: r.Map, Prepared: r.Prepared, Armed: r.Armed, Held: r.Held,
-		Running: int32(r.Running), Pace: r.Pace,
+		Running: int32(r.Running), Pace: r.Slowdown,
 	}
 }
 
@@ -33,12 +33,12 @@
 	return experts.RankReport{
 		Group: s.GetGroup(), Epoch: s.GetEpoch(), Rank: int(s.GetRank()), Size: int(s.GetSize()), Open: s.GetOpen(),
 		Pass: s.GetPass(), Map: s.GetMap(), Prepared: s.GetPrepared(),
-		Armed: s.GetArmed(), Held: s.GetHeld(), Running: int(s.GetRunning()), Pace: s.GetPace(),
+		Armed: s.GetArmed(), Held: s.GetHeld(), Running: int(s.GetRunning()), Slowdown: s.GetPace(),
 	}
 }
 
 // encodeOrder leaves the map out.
-func encodeOrder(o experts.Order) *peerrpc.CommandRequest {
+func encodeOrder(o experts.Command) *peerrpc.CommandRequest {
 	return &peerrpc.CommandRequest{
 		Fence: o.Fence, Operation: int32(o.Operation), Epoch: o.Epoch, Version: o.Version, Pass: o.Pass,
 	}
--- a/internal/ranks/lead.go
+++ b/internal/ranks/leader.go
@@ -17,31 +17,31 @@
 )
 
 // Place is where a rank of a group is reached.
-type Place struct {
+type Endpoints struct {
 	// Server names the backend server that is the rank.
 	Server string
 	// Agent and Engine are the IP:port of the agent's rank calls and of the engine itself.
 	Agent, Engine string
 	// Fences tells that the engine refuses orders with old fencing numbers.
-	Fences bool
+	ChecksFence bool
 }
 
 // Terms are what a holder goes by in a group.
-type Terms struct {
+type Parameters struct {
 	// Engine is the published cost model of the group's engines.
 	Engine *fleet.EngineModel
 	// Pause is the longest pause between events that callers take as prompt; 0 when
 	// that isn't known.
-	Pause  time.Duration
-	Policy experts.Policy
+	MaxEventGap time.Duration
+	Policy      experts.Policy
 }
 
 // Directory knows the groups and where their ranks are. Its answers may change
 // at any time.
 type Directory interface {
-	Place(group string, rank int) (Place, error)
+	Endpoints(group string, rank int) (Endpoints, error)
 	// Terms returns false while the group isn't known, or has no expert maps.
-	Terms(group string) (Terms, bool)
+	Parameters(group string) (Parameters, bool)
 }
 
 // Options are what a leader needs to know of its own daemon.
@@ -52,17 +52,17 @@
 	// them; empty for none.
 	IP, Key string
 	// Room is how many bytes of counts a second may come over the VM's link.
-	Room float64
+	CountsBandwidth float64
 	// Trail is nil when nobody wants to know.
-	Trail Trail
+	AuditTrail AuditTrail
 }
 
 // Trail is told what a leader does. It must not block.
-type Trail interface {
+type AuditTrail interface {
 	// Claimed tells of a lease.
-	Claimed(group string, fence int64)
+	LeaseClaimed(group string, fence int64)
 	// Changed tells of a new map in use.
-	Changed(group string, change experts.MapChange)
+	MapChanged(group string, change experts.MapChange)
 }
 
 // Leader claims the lease of the group of one agent's engine when no holder
@@ -100,13 +100,13 @@
 func (l *Leader) Run(ctx context.Context) {
 	l.learnFence(ctx)
 	for ctx.Err() == nil {
-		report := l.agent.Last()
-		fence, silent := l.agent.Silent()
-		if left := experts.Silence(report.Rank) - silent; left > 0 || report.Size == 0 {
+		report := l.agent.LastReport()
+		fence, silent := l.agent.SinceHolderCall()
+		if left := experts.ClaimDelay(report.Rank) - silent; left > 0 || report.Size == 0 {
 			wait.For(ctx, min(max(left, silencePace), silenceLook))
 			continue
 		}
-		if terms, known := l.directory.Terms(report.Group); known {
+		if terms, known := l.directory.Parameters(report.Group); known {
 			l.claim(ctx, report, terms, fence)
 		}
 		wait.For(ctx, silencePace)
@@ -119,28 +119,28 @@
 // and start again, that and the pace of members at their start bring the first map
 // into use 0.5 to 0.9 s sooner.
 func (l *Leader) learnFence(ctx context.Context) {
-	for ctx.Err() == nil && l.agent.Last().Size == 0 {
+	for ctx.Err() == nil && l.agent.LastReport().Size == 0 {
 		wait.For(ctx, silencePace)
 	}
 	ctx, cancel := context.WithTimeout(ctx, claimTimeout)
 	defer cancel()
-	newest, err := experts.Newest(ctx, l.store, l.agent.Last().Group)
+	newest, err := experts.CurrentLease(ctx, l.store, l.agent.LastReport().Group)
 	if err != nil {
 		l.log.WithError(err).Info("the lease's history wasn't read: it will be when the lease is claimed")
 		return
 	}
 	if newest.Fence > 0 && newest.Holder == l.options.Daemon {
 		l.log.WithField("fence", newest.Fence).Info("an earlier process of this daemon had the lease: it is claimed at once")
-		l.agent.Inherit(newest.Fence)
+		l.agent.MarkHolderGone(newest.Fence)
 		return
 	}
-	l.agent.Learn(newest.Fence)
+	l.agent.ObserveFence(newest.Fence)
 }
 
 // claim tries to get the lease and steers the group while it has it.
-func (l *Leader) claim(ctx context.Context, report experts.RankReport, terms Terms, knownFence int64) {
+func (l *Leader) claim(ctx context.Context, report experts.RankReport, terms Parameters, knownFence int64) {
 	claiming, cancel := context.WithTimeout(ctx, claimTimeout)
-	claimed, err := experts.Claim(claiming, l.store,
+	claimed, err := experts.ClaimLease(claiming, l.store,
 		experts.LeaseRecord{Group: report.Group, Holder: l.options.Daemon, Rank: report.Rank}, knownFence)
 	cancel()
 	log := l.log.WithFields(logrus.Fields{
@@ -152,7 +152,7 @@
 		wait.For(ctx, claimPause)
 		return
 	}
-	l.agent.Learn(claimed.Newest)
+	l.agent.ObserveFence(claimed.Newest)
 	if claimed.Fence == 0 {
 		log.Info("lease not claimed: another daemon has it")
 		return
@@ -162,7 +162,7 @@
 }
 
 // steer is the holder until another has a higher fence.
-func (l *Leader) steer(ctx context.Context, report experts.RankReport, terms Terms, claimed experts.Claimed) {
+func (l *Leader) steer(ctx context.Context, report experts.RankReport, terms Parameters, claimed experts.ClaimResult) {
 	link, err := newLink(l.options.IP, seal{key: []byte(l.options.Key)}, rand.Uint64())
 	if err != nil {
 		l.log.WithError(err).Error("the group can't be steered from here")
@@ -172,15 +172,15 @@
 	defer link.close()
 	ranks := &client{
 		group: report.Group, directory: l.directory, link: link, http: l.http,
-		local: l.agent, ownRank: report.Rank, engine: l.engine, room: l.options.Room, silent: map[int]bool{}, places: map[int]Place{}, maps: semaphore.NewWeighted(mapsAtOnce),
+		local: l.agent, ownRank: report.Rank, engine: l.engine, room: l.options.CountsBandwidth, silent: map[int]bool{}, places: map[int]Endpoints{}, maps: semaphore.NewWeighted(mapsAtOnce),
 	}
-	lease := experts.Lease{Claimed: claimed, Size: report.Size, OwnRank: report.Rank, Engine: terms.Engine, Pause: terms.Pause}
-	if trail := l.options.Trail; trail != nil {
-		trail.Claimed(report.Group, claimed.Fence)
-		lease.Changed = func(change experts.MapChange) { trail.Changed(report.Group, change) }
+	lease := experts.Lease{ClaimResult: claimed, Size: report.Size, OwnRank: report.Rank, Engine: terms.Engine, MaxEventGap: terms.MaxEventGap}
+	if trail := l.options.AuditTrail; trail != nil {
+		trail.LeaseClaimed(report.Group, claimed.Fence)
+		lease.OnMapChange = func(change experts.MapChange) { trail.MapChanged(report.Group, change) }
 	}
 	policy := func() experts.Policy {
-		if now, known := l.directory.Terms(report.Group); known {
+		if now, known := l.directory.Parameters(report.Group); known {
 			terms = now
 		}
 		return terms.Policy
--- a/internal/ranks/ranks_test.go
+++ b/internal/ranks/ranks_test.go
@@ -35,7 +35,7 @@
 // fakeEngine accepts every order and remembers it.
 type fakeEngine struct {
 	mu     sync.Mutex
-	orders []experts.Order
+	orders []experts.Command
 	counts []float64
 }
 
@@ -43,7 +43,7 @@
 	return experts.RankReport{Group: "g", Epoch: 1, Rank: 1, Size: 2, Open: true, Pass: 9}, nil
 }
 
-func (e *fakeEngine) Picked(context.Context, string) (experts.Counts, error) {
+func (e *fakeEngine) Counts(context.Context, string) (experts.Counts, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	for i := range e.counts {
@@ -54,17 +54,17 @@
 
 func (e *fakeEngine) Experts(context.Context, string) ([][]int, error) { return [][]int{{1}}, nil }
 
-func (e *fakeEngine) Order(_ context.Context, _ string, o experts.Order) (experts.Verdict, error) {
+func (e *fakeEngine) Execute(_ context.Context, _ string, o experts.Command) (experts.Result, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.orders = append(e.orders, o)
 	return experts.Accepted, nil
 }
 
-func (e *fakeEngine) given() []experts.Order {
+func (e *fakeEngine) given() []experts.Command {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return append([]experts.Order(nil), e.orders...)
+	return append([]experts.Command(nil), e.orders...)
 }
 
 // portTries bounds how many ports listenBoth looks at.
@@ -91,7 +91,7 @@
 // newService returns the service of an agent that has looked at its engine.
 func newService(engine *fakeEngine) *Service {
 	agent := experts.NewAgent(engine, "", time.Now, quietLog())
-	_, err := agent.Report(context.Background())
+	_, err := agent.RefreshReport(context.Background())
 	Expect(err).NotTo(HaveOccurred())
 	return NewService(agent)
 }
@@ -114,16 +114,16 @@
 }
 
 // place is where the only other rank of the specs is.
-type place struct{ at Place }
+type place struct{ at Endpoints }
 
-func (p place) Place(string, int) (Place, error) {
+func (p place) Endpoints(string, int) (Endpoints, error) {
 	if p.at.Server == "" {
-		return Place{}, errors.New("not registered")
+		return Endpoints{}, errors.New("not registered")
 	}
 	return p.at, nil
 }
 
-func (p place) Terms(string) (Terms, bool) { return Terms{}, false }
+func (p place) Parameters(string) (Parameters, bool) { return Parameters{}, false }
 
 var _ = Describe("calls between agents", func() {
 	const key = "secret"
@@ -158,8 +158,8 @@
 			Expect(<-ended).NotTo(HaveOccurred())
 		})
 		return &client{
-			group: "g", link: l, http: http.DefaultClient, ownRank: 0, engine: engine, silent: map[int]bool{}, places: map[int]Place{}, maps: semaphore.NewWeighted(mapsAtOnce),
-			directory: place{Place{Server: "s", Agent: conn.LocalAddr().String()}},
+			group: "g", link: l, http: http.DefaultClient, ownRank: 0, engine: engine, silent: map[int]bool{}, places: map[int]Endpoints{}, maps: semaphore.NewWeighted(mapsAtOnce),
+			directory: place{Endpoints{Server: "s", Agent: conn.LocalAddr().String()}},
 		}
 	}
 
@@ -173,12 +173,12 @@
 
 	It("tell a rank's state and the part of its counts that is asked for", func() {
 		c := connect(key)
-		_, err := c.Observe(bounded(5*time.Second), 1, 4, experts.Question{})
+		_, err := c.Observe(bounded(5*time.Second), 1, 4, experts.Query{})
 		Expect(err).NotTo(HaveOccurred())
-		seen, err := c.Observe(bounded(5*time.Second), 1, 4, experts.Question{From: 2, To: 5, Lists: true})
+		seen, err := c.Observe(bounded(5*time.Second), 1, 4, experts.Query{From: 2, To: 5, Experts: true})
 		Expect(err).NotTo(HaveOccurred())
 		Expect(seen.Report.Pass).To(Equal(int64(9)))
-		Expect(seen.Counts).To(Equal(experts.Counts{From: 2, Chosen: []float64{3, 4, 5}}))
+		Expect(seen.Counts).To(Equal(experts.Counts{Offset: 2, Chosen: []float64{3, 4, 5}}))
 		Expect(seen.Experts).To(Equal([][]int{{1}}))
 		Expect(httpCalls).To(BeZero())
 	})
@@ -188,7 +188,7 @@
 		answers.mu.Lock()
 		answers.drop = 2
 		answers.mu.Unlock()
-		verdict, err := c.Command(bounded(10*time.Second), 1, experts.Order{Operation: experts.Hold, Pass: 3, Fence: 1}, false)
+		verdict, err := c.SendCommand(bounded(10*time.Second), 1, experts.Command{Operation: experts.Hold, Pass: 3, Fence: 1}, false)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(verdict).To(Equal(experts.Accepted))
 		Expect(len(engine.given())).To(BeNumerically(">=", 3))
@@ -196,7 +196,7 @@
 
 	It("aren't taken from who doesn't know the key", func() {
 		c := connect("another")
-		_, err := c.Command(bounded(200*time.Millisecond), 1, experts.Order{Operation: experts.Hold, Pass: 3, Fence: 1}, false)
+		_, err := c.SendCommand(bounded(200*time.Millisecond), 1, experts.Command{Operation: experts.Hold, Pass: 3, Fence: 1}, false)
 		Expect(err).To(HaveOccurred())
 		Expect(engine.given()).To(BeEmpty())
 	})
@@ -204,9 +204,9 @@
 	It("reach an agent again as soon as it can be reached, without waiting for it meanwhile", func() {
 		c := connect(key)
 		reachable := c.directory
-		c.directory = place{Place{Server: "s", Agent: "127.0.0.1:1", Engine: "127.0.0.1:2", Fences: true}}
+		c.directory = place{Endpoints{Server: "s", Agent: "127.0.0.1:1", Engine: "127.0.0.1:2", ChecksFence: true}}
 		looks := func() experts.Observation {
-			seen, err := c.Observe(bounded(300*time.Millisecond), 1, 4, experts.Question{To: 6})
+			seen, err := c.Observe(bounded(300*time.Millisecond), 1, 4, experts.Query{To: 6})
 			Expect(err).NotTo(HaveOccurred())
 			return seen
 		}
@@ -222,21 +222,21 @@
 
 	It("go where a rank was last while it isn't registered", func() {
 		c := connect(key)
-		_, err := c.Observe(bounded(5*time.Second), 1, 4, experts.Question{})
+		_, err := c.Observe(bounded(5*time.Second), 1, 4, experts.Query{})
 		Expect(err).NotTo(HaveOccurred())
 		c.directory = place{}
-		seen, err := c.Observe(bounded(5*time.Second), 1, 4, experts.Question{})
+		seen, err := c.Observe(bounded(5*time.Second), 1, 4, experts.Query{})
 		Expect(err).NotTo(HaveOccurred())
 		Expect(seen.Report.Pass).To(Equal(int64(9)))
-		_, err = c.Observe(bounded(5*time.Second), 2, 4, experts.Question{})
+		_, err = c.Observe(bounded(5*time.Second), 2, 4, experts.Query{})
 		Expect(err).To(MatchError("not registered"))
 	})
 
 	It("are taken by the rank that they are for only", func() {
 		c := connect(key)
-		_, err := c.Observe(bounded(5*time.Second), 2, 4, experts.Question{})
+		_, err := c.Observe(bounded(5*time.Second), 2, 4, experts.Query{})
 		Expect(err).To(MatchError(ContainSubstring("is rank 1")))
-		verdict, err := c.Command(bounded(5*time.Second), 2, experts.Order{Operation: experts.Arm, Pass: 3, Fence: 4}, false)
+		verdict, err := c.SendCommand(bounded(5*time.Second), 2, experts.Command{Operation: experts.Arm, Pass: 3, Fence: 4}, false)
 		Expect(err).To(MatchError(ContainSubstring("this is rank 1")))
 		Expect(verdict).To(Equal(experts.Refused))
 		Expect(engine.given()).To(BeEmpty())
@@ -244,18 +244,18 @@
 
 	It("go to no engine directly that takes orders with old fencing numbers", func() {
 		c := connect(key)
-		c.directory = place{Place{Server: "s", Agent: "127.0.0.1:1", Engine: "127.0.0.1:2"}}
-		_, err := c.Command(bounded(200*time.Millisecond), 1, experts.Order{Operation: experts.Hold, Pass: 3, Fence: 1}, true)
+		c.directory = place{Endpoints{Server: "s", Agent: "127.0.0.1:1", Engine: "127.0.0.1:2"}}
+		_, err := c.SendCommand(bounded(200*time.Millisecond), 1, experts.Command{Operation: experts.Hold, Pass: 3, Fence: 1}, true)
 		Expect(err).To(HaveOccurred())
 		Expect(engine.given()).To(BeEmpty())
-		c.directory = place{Place{Server: "s", Agent: "127.0.0.1:1", Engine: "127.0.0.1:2", Fences: true}}
-		verdict, err := c.Command(bounded(200*time.Millisecond), 1, experts.Order{Operation: experts.Hold, Pass: 3, Fence: 1}, true)
+		c.directory = place{Endpoints{Server: "s", Agent: "127.0.0.1:1", Engine: "127.0.0.1:2", ChecksFence: true}}
+		verdict, err := c.SendCommand(bounded(200*time.Millisecond), 1, experts.Command{Operation: experts.Hold, Pass: 3, Fence: 1}, true)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(verdict).To(Equal(experts.Accepted))
 	})
 
 	prepare := func(c *client, version int64, lists [][][]int) {
-		verdict, err := c.Command(bounded(5*time.Second), 1, experts.Order{Operation: experts.Prepare, Epoch: 1, Version: version, Fence: 1, Map: lists}, false)
+		verdict, err := c.SendCommand(bounded(5*time.Second), 1, experts.Command{Operation: experts.Prepare, Epoch: 1, Version: version, Fence: 1, Map: lists}, false)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(verdict).To(Equal(experts.Accepted))
 		given := engine.given()
@@ -292,9 +292,9 @@
 			_, _ = conn.WriteTo(sealed.add(answer), from)
 		}()
 		c := connect(key)
-		c.directory = place{Place{Server: "s", Agent: conn.LocalAddr().String()}}
-		verdict, err := c.Command(bounded(5*time.Second), 1, experts.Order{Operation: experts.Arm, Version: 4, Pass: 12, Fence: 4}, false)
-		Expect(verdict).To(Equal(experts.Unanswered))
+		c.directory = place{Endpoints{Server: "s", Agent: conn.LocalAddr().String()}}
+		verdict, err := c.SendCommand(bounded(5*time.Second), 1, experts.Command{Operation: experts.Arm, Version: 4, Pass: 12, Fence: 4}, false)
+		Expect(verdict).To(Equal(experts.NoResponse))
 		Expect(err).To(MatchError(ContainSubstring("no map")))
 	})
 
--- a/internal/ranks/service.go
+++ b/internal/ranks/service.go
@@ -23,8 +23,8 @@
 
 // Observe implements peerrpc.Ranks.
 func (s *Service) Observe(ctx context.Context, r *peerrpc.ObserveRequest) (*peerrpc.ObserveReply, error) {
-	seen, err := s.agent.Observe(ctx, r.GetFence(), experts.Question{
-		From: int(r.GetCountsFrom()), To: int(r.GetCountsTo()), Lists: r.GetLists(),
+	seen, err := s.agent.Observe(ctx, r.GetFence(), experts.Query{
+		From: int(r.GetCountsFrom()), To: int(r.GetCountsTo()), Experts: r.GetLists(),
 	})
 	reply := &peerrpc.ObserveReply{Fence: seen.Fence, State: encodeState(seen.Report)}
 	if err != nil {
@@ -42,7 +42,7 @@
 
 // Command implements peerrpc.Ranks.
 func (s *Service) Command(ctx context.Context, r *peerrpc.CommandRequest) (*peerrpc.CommandReply, error) {
-	if own := s.agent.Last(); own.Group != r.GetGroup() || own.Rank != int(r.GetRank()) {
+	if own := s.agent.LastReport(); own.Group != r.GetGroup() || own.Rank != int(r.GetRank()) {
 		return &peerrpc.CommandReply{
 			Verdict: int32(experts.Refused),
 			Detail:  fmt.Sprintf("meant for rank %d of group %q; this is rank %d of %q", r.GetRank(), r.GetGroup(), own.Rank, own.Group),
@@ -52,7 +52,7 @@
 	if !known {
 		return &peerrpc.CommandReply{BaseUnknown: true}, nil
 	}
-	verdict, err := s.agent.Command(ctx, order)
+	verdict, err := s.agent.Execute(ctx, order)
 	reply := &peerrpc.CommandReply{Verdict: int32(verdict)}
 	if err != nil {
 		reply.Detail = err.Error()
@@ -62,8 +62,8 @@
 
 // decodeOrder reads an order. It returns false when its map is the difference to
 // one that isn't known here.
-func (s *Service) decodeOrder(r *peerrpc.CommandRequest) (experts.Order, bool) {
-	order := experts.Order{
+func (s *Service) decodeOrder(r *peerrpc.CommandRequest) (experts.Command, bool) {
+	order := experts.Command{
 		Operation: experts.Operation(r.GetOperation()), Epoch: r.GetEpoch(), Version: r.GetVersion(),
 		Pass: r.GetPass(), Fence: r.GetFence(),
 	}
@@ -75,7 +75,7 @@
 	defer s.mu.Unlock()
 	lists, known := s.mapOf(told, r)
 	if !known {
-		return experts.Order{}, false
+		return experts.Command{}, false
 	}
 	order.Map, told.lists = lists, lists
 	s.known = told
--- a/internal/rebalance/placement.go
+++ b/internal/rebalance/placement.go
@@ -100,7 +100,7 @@
 
 // Valid checks that every expert has a replica in every layer and that no rank
 // holds an expert twice.
-func (p *Placement) Valid() error {
+func (p *Placement) Validate() error {
 	for layer := range p.slots {
 		seen := make([]bool, p.Shape.Experts)
 		for rank := range p.Shape.Ranks {
@@ -143,7 +143,7 @@
 
 // MostLoads is how many experts the rank that loads most has to load, over all
 // layers, to get from one placement to another.
-func (p *Placement) MostLoads(other *Placement) int {
+func (p *Placement) MaxLoads(other *Placement) int {
 	loads := make([]int, p.Shape.Ranks)
 	for layer := range p.slots {
 		for rank := range p.Shape.Ranks {
@@ -201,7 +201,7 @@
 
 // FromLists returns a placement by the experts of each rank in each layer. Slots
 // that the lists leave are empty.
-func FromLists(shape Shape, lists [][][]int) (*Placement, error) {
+func NewPlacementFromLists(shape Shape, lists [][][]int) (*Placement, error) {
 	p := &Placement{Shape: shape, slots: make([][]int32, shape.Layers)}
 	if len(lists) != shape.Layers {
 		return nil, errors.Errorf("placement: %d layers, want %d", len(lists), shape.Layers)
@@ -227,7 +227,7 @@
 			}
 		}
 	}
-	return p, p.Valid()
+	return p, p.Validate()
 }
 
 // Lists returns the experts of each rank in each layer.
--- a/internal/rebalance/plan.go
+++ b/internal/rebalance/plan.go
@@ -18,14 +18,14 @@
 	MaxNewPerRank int
 	// GoodEnough ends the search in a layer once its slowest rank's time is at most
 	// this many times the ideal one; 0 means that only cost does.
-	GoodEnough float64
+	TargetRatio float64
 	// Times say how long it takes until a plan is in force.
-	Times Times
+	Timing Timing
 }
 
 // Times are what a plan costs in time. The zero value means that plans are in force
 // at once.
-type Times struct {
+type Timing struct {
 	// Copy is how long a rank copies one expert. All ranks copy at the same time, each
 	// one expert after the other.
 	Copy time.Duration
@@ -37,7 +37,7 @@
 //
 // Plans follow each other, so that which gains most a second goes first: that order
 // leaves the least skew over time. A long plan makes everybody wait for its last copy.
-func (t Times) rate(before, after float64, loads int) float64 {
+func (t Timing) rate(before, after float64, loads int) float64 {
 	took := t.Switch + time.Duration(loads)*t.Copy
 	if took <= 0 {
 		return before - after
@@ -90,7 +90,7 @@
 		p.loads.allow(most)
 		p.lighten(options)
 		worse++
-		if rate := options.Times.rate(before, p.skew(), p.loads.most()); rate > bestRate {
+		if rate := options.Timing.rate(before, p.skew(), p.loads.most()); rate > bestRate {
 			bestRate, bestLength, worse = rate, len(p.moves), 0
 		}
 		if !p.loads.refused || len(p.moves) >= options.MaxMoves {
@@ -107,7 +107,7 @@
 // firstBound is the bound on a rank's loads to begin with: none when copies take no
 // time.
 func (p *Planner) firstBound(options Options) int {
-	if options.Times.Copy <= 0 {
+	if options.Timing.Copy <= 0 {
 		return p.shape.Layers * p.shape.Slots
 	}
 	return 1
@@ -158,7 +158,7 @@
 		p.stuck[n] = false
 	}
 	for {
-		worst := p.worstLayer(options.GoodEnough)
+		worst := p.worstLayer(options.TargetRatio)
 		if worst < 0 {
 			return
 		}
@@ -192,7 +192,7 @@
 	l := p.layers[n]
 	before := l.slowestTime()
 	p.pending, p.pendingLoads = p.pending[:0], 0
-	for len(p.pending) <= patience && l.slowestTime() > p.ideal[n]*options.GoodEnough && p.mayPay(n, before) {
+	for len(p.pending) <= patience && l.slowestTime() > p.ideal[n]*options.TargetRatio && p.mayPay(n, before) {
 		best, found := l.bestStep(n)
 		if !found || len(p.moves)+len(p.pending)+best.length > options.MaxMoves {
 			break
--- a/internal/rebalance/rebalance_test.go
+++ b/internal/rebalance/rebalance_test.go
@@ -54,7 +54,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if err := p.Valid(); err != nil {
+		if err := p.Validate(); err != nil {
 			t.Fatal(err)
 		}
 		planner := NewPlanner(shape)
@@ -64,7 +64,7 @@
 			options := Options{SkewWeight: 1, CostWeight: rapid.Float64Range(0, 5).Draw(t, "cost"), MaxMoves: 1000}
 			moves := planner.Plan(p, popularity, speeds, options)
 			p.Apply(moves)
-			if err := p.Valid(); err != nil {
+			if err := p.Validate(); err != nil {
 				t.Fatal(err)
 			}
 			if after := p.Skew(popularity, speeds); after > before*(1+1e-9) {
@@ -170,7 +170,7 @@
 				lists[layer][rank] = append(lists[layer][rank], expert)
 			}
 		}
-		p, err := FromLists(shape, lists)
+		p, err := NewPlacementFromLists(shape, lists)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -181,7 +181,7 @@
 			next.Apply(planner.Plan(p, popularity, drawSpeeds(t, shape.Ranks), Options{
 				SkewWeight: 1, MaxMoves: 1000, MaxNewPerRank: bound,
 			}))
-			if err := next.Valid(); err != nil {
+			if err := next.Validate(); err != nil {
 				t.Fatal(err)
 			}
 			for layer := range shape.Layers {
@@ -225,7 +225,7 @@
 	}
 	for range 100 {
 		p.Apply(planner.Plan(p, popularity, speeds, Options{SkewWeight: 1, MaxMoves: bound}))
-		if err := p.Valid(); err != nil {
+		if err := p.Validate(); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -257,14 +257,14 @@
 
 // inForce is the mean skew over a time in which plans follow each other, each in force
 // once its copies are made: what the callers of a group get.
-func inForce(t testing.TB, over time.Duration, times Times, plan func(*Placement, Popularity, []float64) []Move) float64 {
+func inForce(t testing.TB, over time.Duration, times Timing, plan func(*Placement, Popularity, []float64) []Move) float64 {
 	t.Helper()
 	p, popularity, speeds := shiftedDemand(t)
 	total, at := 0.0, time.Duration(0)
 	for at < over {
 		next := p.Clone()
 		next.Apply(plan(p, popularity, speeds))
-		took := min(times.Switch+time.Duration(p.MostLoads(next))*times.Copy, over-at)
+		took := min(times.Switch+time.Duration(p.MaxLoads(next))*times.Copy, over-at)
 		total += took.Seconds() * p.Skew(popularity, speeds)
 		at, p = at+took, next
 	}
@@ -283,17 +283,17 @@
 		{copy: 400 * time.Millisecond, mostPart: 0.85},
 		{copy: 40 * time.Millisecond, mostPart: 1.02},
 	} {
-		times := Times{Copy: example.copy, Switch: 300 * time.Millisecond}
+		times := Timing{Copy: example.copy, Switch: 300 * time.Millisecond}
 		planner := NewPlanner(Shape{Ranks: 12, Experts: 96, Layers: 3, Slots: 11})
-		with := func(times Times) func(*Placement, Popularity, []float64) []Move {
+		with := func(times Timing) func(*Placement, Popularity, []float64) []Move {
 			return func(p *Placement, popularity Popularity, speeds []float64) []Move {
 				return planner.Plan(p, popularity, speeds, Options{
-					SkewWeight: 1, CostWeight: 1, MaxMoves: 170, MaxNewPerRank: 4, GoodEnough: 1.12, Times: times,
+					SkewWeight: 1, CostWeight: 1, MaxMoves: 170, MaxNewPerRank: 4, TargetRatio: 1.12, Timing: times,
 				})
 			}
 		}
 		const over = 4 * time.Second
-		timed, atOnce := inForce(t, over, times, with(times)), inForce(t, over, times, with(Times{}))
+		timed, atOnce := inForce(t, over, times, with(times)), inForce(t, over, times, with(Timing{}))
 		t.Logf("copies of %s: mean skew %.3f, all at once %.3f", example.copy, timed, atOnce)
 		if timed > example.mostPart*atOnce {
 			t.Errorf("copies of %s: mean skew %.3f, want at most %.2f of %.3f", example.copy, timed, example.mostPart, atOnce)
@@ -307,10 +307,10 @@
 	planner := NewPlanner(Shape{Ranks: 12, Experts: 96, Layers: 3, Slots: 11})
 	last := math.Inf(1)
 	for _, copyTime := range []time.Duration{800, 400, 200, 100, 50, 25} {
-		times := Times{Copy: copyTime * time.Millisecond, Switch: 300 * time.Millisecond}
+		times := Timing{Copy: copyTime * time.Millisecond, Switch: 300 * time.Millisecond}
 		skew := inForce(t, 4*time.Second, times, func(p *Placement, popularity Popularity, speeds []float64) []Move {
 			return planner.Plan(p, popularity, speeds, Options{
-				SkewWeight: 1, CostWeight: 1, MaxMoves: 170, MaxNewPerRank: 4, GoodEnough: 1.12, Times: times,
+				SkewWeight: 1, CostWeight: 1, MaxMoves: 170, MaxNewPerRank: 4, TargetRatio: 1.12, Timing: times,
 			})
 		})
 		t.Logf("copies of %s: mean skew %.3f", times.Copy, skew)
@@ -328,17 +328,17 @@
 func TestASlowRankGetsRidOfItsWork(t *testing.T) {
 	p, popularity, speeds := shiftedDemand(t)
 	speeds[5] = 1.0 / 12
-	times := Times{Copy: 400 * time.Millisecond, Switch: 300 * time.Millisecond}
+	times := Timing{Copy: 400 * time.Millisecond, Switch: 300 * time.Millisecond}
 	planner := NewPlanner(p.Shape)
 	for at := time.Duration(0); at < 1400*time.Millisecond; {
 		next := p.Clone()
 		next.Apply(planner.Plan(p, popularity, speeds, Options{
-			SkewWeight: 1, CostWeight: 1, MaxMoves: 170, MaxNewPerRank: 4, GoodEnough: 1.12, Times: times,
+			SkewWeight: 1, CostWeight: 1, MaxMoves: 170, MaxNewPerRank: 4, TargetRatio: 1.12, Timing: times,
 		}))
-		if err := next.Valid(); err != nil {
+		if err := next.Validate(); err != nil {
 			t.Fatal(err)
 		}
-		at += times.Switch + time.Duration(p.MostLoads(next))*times.Copy
+		at += times.Switch + time.Duration(p.MaxLoads(next))*times.Copy
 		p = next
 		t.Logf("at %s: skew %.2f", at, p.Skew(popularity, speeds))
 	}
--- a/standins/bench/rebalance.go
+++ b/standins/bench/rebalance.go
@@ -170,15 +170,15 @@
 		if err != nil {
 			panic(err) // the shapes are ours
 		}
-		options := rebalance.Options{SkewWeight: 1, CostWeight: 1, MaxMoves: 1 << 20, MaxNewPerRank: 4, GoodEnough: goodEnough}
+		options := rebalance.Options{SkewWeight: 1, CostWeight: 1, MaxMoves: 1 << 20, MaxNewPerRank: 4, TargetRatio: goodEnough}
 		whole, _ := planAfter(placement, popularity, options)
-		options.Times = rebalance.Times{Copy: copyTime, Switch: switchTime}
+		options.Timing = rebalance.Timing{Copy: copyTime, Switch: switchTime}
 		first, took := planAfter(placement, popularity, options)
 		speeds := speedsAt(trace.Options{Shape: shape}, -1, 0)
 		r.Figure(name+"/plan", took.Seconds()*1000, "ms")
 		r.Figure(name+"/skew-before", placement.Skew(popularity, speeds), "x")
 		r.Against(name+"/skew-after", first.Skew(popularity, speeds), "x", whole.Skew(popularity, speeds))
-		r.Against(name+"/copies-of-the-busiest", float64(placement.MostLoads(first)), "experts", float64(placement.MostLoads(whole)))
+		r.Against(name+"/copies-of-the-busiest", float64(placement.MaxLoads(first)), "experts", float64(placement.MaxLoads(whole)))
 	}
 }
 
@@ -201,7 +201,7 @@
 	r.Figure(name+"/repack/loads", float64(full.loads), "experts")
 	planner := rebalance.NewPlanner(o.Shape)
 	for _, d := range weightings {
-		options := rebalance.Options{SkewWeight: d.skew, CostWeight: d.costWeight, MaxMoves: 1 << 20, GoodEnough: goodEnough}
+		options := rebalance.Options{SkewWeight: d.skew, CostWeight: d.costWeight, MaxMoves: 1 << 20, TargetRatio: goodEnough}
 		run := runPolicy(o, planned(planner, options))
 		r.Against(name+"/"+d.name+"/skew-p50", Quantile(run.skews, 0.5), "x", Quantile(full.skews, 0.5))
 		r.Against(name+"/"+d.name+"/skew-p99", Quantile(run.skews, 0.99), "x", Quantile(full.skews, 0.99))
@@ -213,7 +213,7 @@
 func (r *Reporter) curve(name string, o trace.Options) {
 	planner := rebalance.NewPlanner(o.Shape)
 	for _, price := range []float64{0.03, 0.06, 0.12, 0.25, 0.5, 1, 2, 4} {
-		run := runPolicy(o, planned(planner, rebalance.Options{SkewWeight: 1, CostWeight: price, MaxMoves: 1 << 20, GoodEnough: goodEnough}))
+		run := runPolicy(o, planned(planner, rebalance.Options{SkewWeight: 1, CostWeight: price, MaxMoves: 1 << 20, TargetRatio: goodEnough}))
 		r.Figure(fmt.Sprintf("%s/price-%g/loads", name, price), float64(run.loads), "experts")
 		r.Figure(fmt.Sprintf("%s/price-%g/skew-p99", name, price), Quantile(run.skews, 0.99), "x")
 	}
@@ -231,7 +231,7 @@
 	runtime.GC()
 	runtime.ReadMemStats(&before)
 	planner := rebalance.NewPlanner(o.Shape)
-	options := rebalance.Options{SkewWeight: 1, CostWeight: weightings[0].costWeight, MaxMoves: 1 << 20, GoodEnough: goodEnough}
+	options := rebalance.Options{SkewWeight: 1, CostWeight: weightings[0].costWeight, MaxMoves: 1 << 20, TargetRatio: goodEnough}
 	var steady []float64
 	for interval := range 20 {
 		truth, _ := t.Next()
--- a/standins/engine/group_test.go
+++ b/standins/engine/group_test.go
@@ -14,26 +14,26 @@
 	}{
 		"all ranks armed": {orders: func(g *Group) {
 			for rank := range 2 {
-				g.carryOut(rank, experts.Order{Operation: experts.Arm, Version: 1, Pass: 3, Epoch: 1})
+				g.carryOut(rank, experts.Command{Operation: experts.Arm, Version: 1, Pass: 3, Epoch: 1})
 			}
 		}},
 		"one rank armed": {mixed: 1, orders: func(g *Group) {
-			g.carryOut(0, experts.Order{Operation: experts.Arm, Version: 1, Pass: 3, Epoch: 1})
+			g.carryOut(0, experts.Command{Operation: experts.Arm, Version: 1, Pass: 3, Epoch: 1})
 		}},
 		"one rank armed while the other holds the pass": {orders: func(g *Group) {
-			g.carryOut(0, experts.Order{Operation: experts.Arm, Version: 1, Pass: 3, Epoch: 1})
-			g.carryOut(1, experts.Order{Operation: experts.Hold, Pass: 3, Epoch: 1})
+			g.carryOut(0, experts.Command{Operation: experts.Arm, Version: 1, Pass: 3, Epoch: 1})
+			g.carryOut(1, experts.Command{Operation: experts.Hold, Pass: 3, Epoch: 1})
 		}},
 		"armed in an epoch that is over": {orders: func(g *Group) {
 			g.SetDown(1, true)
 			g.SetDown(1, false)
-			g.carryOut(0, experts.Order{Operation: experts.Arm, Version: 1, Pass: 3, Epoch: 1})
+			g.carryOut(0, experts.Command{Operation: experts.Arm, Version: 1, Pass: 3, Epoch: 1})
 		}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			g := NewGroup(GroupOptions{Name: "g", Ranks: 2, Experts: 4, Sets: 1})
 			for rank := range 2 {
-				g.carryOut(rank, experts.Order{Operation: experts.Prepare, Version: 1, Epoch: 1, Map: [][][]int{{{0, 1}, {2, 3}}}})
+				g.carryOut(rank, experts.Command{Operation: experts.Prepare, Version: 1, Epoch: 1, Map: [][][]int{{{0, 1}, {2, 3}}}})
 			}
 			c.orders(g)
 			for range 3 {
--- a/standins/engine/grouphttp.go
+++ b/standins/engine/grouphttp.go
@@ -126,14 +126,14 @@
 	w.WriteHeader(g.carryOut(rank, order))
 }
 
-func (g *Group) carryOutLate(rank int, order experts.Order) {
+func (g *Group) carryOutLate(rank int, order experts.Command) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.carryOut(rank, order)
 }
 
 // carryOut returns the status of an order. The caller holds mu.
-func (g *Group) carryOut(rank int, o experts.Order) int {
+func (g *Group) carryOut(rank int, o experts.Command) int {
 	own := g.ranks[rank]
 	if o.Fence < own.fence && !g.options.IgnoreFences {
 		return http.StatusPreconditionFailed
--- a/standins/platform/oldercopy_test.go
+++ b/standins/platform/oldercopy_test.go
@@ -48,7 +48,7 @@
 	claim := func(holder string) {
 		t.Helper()
 		for range 2 { // refused the first time where the history shows a token unknown here
-			claimed, err := experts.Claim(ctx, client, experts.LeaseRecord{Group: "g", Holder: holder}, known)
+			claimed, err := experts.ClaimLease(ctx, client, experts.LeaseRecord{Group: "g", Holder: holder}, known)
 			if err != nil {
 				t.Fatal(err)
 			}
