--- a/cmd/crowbridged/agent.go
+++ b/cmd/crowbridged/agent.go
@@ -85,14 +85,14 @@
 	a := agent.New(agent.Options{
 		Server: cmd.String("server"), Backend: cmd.String("backend"),
 		Protocol: config.Protocol(cmd.String("protocol")),
-		MaxBody:  int64(cmd.Int("max-body")), MaxAnswer: int64(cmd.Int("max-answer")),
+		MaxBody:  int64(cmd.Int("max-body")), MaxResponse: int64(cmd.Int("max-answer")),
 		MaxQueued: cmd.Int("max-queued"), MaxConcurrency: concurrency(cmd, rep.View()),
-		Key: cmd.String("daemon-key"), Elapsed: clock.New(p.log).Now,
+		Key: cmd.String("daemon-key"), SuspendAwareNow: clock.New(p.log).Now,
 	}, rep.View().Policy(), time.Now, p.log)
-	daemon.ExportLedger(a.Ledger)
+	daemon.ExportLedger(a.OutcomeCounts)
 	p.loop(func(ctx context.Context) { followConfiguration(ctx, cmd, a, rep) })
 	recorder := agent.NewRecorder(a, rep, entryAddresses(peers, cmd.String("zone")), daemon.NewControlClient(cmd.String("daemon-key")), p.log)
-	p.run(recorder.Run)
+	p.run(recorder.RecordStart)
 	err = serveAgent(p, a, rep)
 	if err == nil && p.awaitStop() {
 		leave(p, a, recorder)
@@ -100,7 +100,7 @@
 	if taskErr := p.finish(); err == nil {
 		err = taskErr
 	}
-	p.log.WithField("ledger", a.Ledger()).Info("agent stopped")
+	p.log.WithField("ledger", a.OutcomeCounts()).Info("agent stopped")
 	return err
 }
 
@@ -131,7 +131,7 @@
 func configuration(cmd *cli.Command, view *config.View) agent.Configuration {
 	c := agent.Configuration{Policy: view.Policy(), MaxConcurrency: concurrency(cmd, view)}
 	if server := view.Get(config.KindBackendServer, cmd.String("server")); server != nil {
-		c.Homes = view.Homes(server.BackendServer.Service)
+		c.HomesChange = view.Homes(server.BackendServer.Service)
 		c.Draining = server.BackendServer.Draining
 	}
 	return c
@@ -183,7 +183,7 @@
 }
 
 func agentControl(key string, a *agent.Agent, rep *replica.Replica, rank *ranks.Service) http.Handler {
-	agents := rpc.NewAgentsServer(&agent.Control{Agent: a})
+	agents := rpc.NewAgentsServer(&agent.ControlServer{Agent: a})
 	peers := rpc.NewPeersServer(&replica.PeerServer{Replica: rep})
 	mux := http.NewServeMux()
 	mux.Handle(agents.PathPrefix(), daemon.RequireKey(key, agents))
--- a/cmd/crowbridged/entry.go
+++ b/cmd/crowbridged/entry.go
@@ -99,8 +99,8 @@
 	rep := replica.New(time.Now)
 	e := entry.New(entry.Options{
 		Name: cmd.String("name"), Zone: cmd.String("zone"), DaemonKey: cmd.String("daemon-key"),
-		MaxBody: cmd.Int("max-body"), MaxAnswer: int64(cmd.Int("max-answer")),
-		MaxConcurrent: cmd.Int("max-concurrent"), ReportsPerSecond: cmd.Int("reports-per-second"),
+		MaxBody: cmd.Int("max-body"), MaxResponse: int64(cmd.Int("max-answer")),
+		MaxConcurrent: cmd.Int("max-concurrent"), PollsPerSecond: cmd.Int("reports-per-second"),
 	}, rep, time.Now, p.log)
 	daemon.ExportLedger(e.Ledger)
 	err = serveEntry(p, s, e, rep)
@@ -135,11 +135,11 @@
 	daemon.WatchEra(store.Eras(), p.log)
 	store.Eras().OnNew(func(int64, int64) {
 		rep.Reread()
-		e.ListCameBack()
+		e.VMListRestored()
 	})
 	log := platform.ConfigLog{Store: store, Now: time.Now}
 	api := admin.New(e, rep, log, store, s.operators, p.log)
-	if err := p.serve("control", controlHandler(key, api, rep, log, e.Crashes())); err != nil {
+	if err := p.serve("control", controlHandler(key, api, rep, log, e.CrashDetector())); err != nil {
 		return err
 	}
 	if err := p.serve("metrics", daemon.MetricsHandler(e.Ready, p.log.Logger)); err != nil {
@@ -148,11 +148,11 @@
 	p.loop(func(ctx context.Context) { rep.Follow(ctx, entrySources(p.cmd, s, log), p.log) })
 	p.loop(e.WatchConfiguration)
 	p.loop(func(ctx context.Context) {
-		e.Crashes().Gossip(ctx, otherEntries(p.cmd, s), daemon.NewControlClient(key))
+		e.CrashDetector().Gossip(ctx, otherEntries(p.cmd, s), daemon.NewControlClient(key))
 	})
-	p.loop(crash.NewKeeper(e.Crashes(), rep, log, p.cmd.String("name"), time.Now).Run)
-	p.run(e.WatchServers)
-	p.loop(func(ctx context.Context) { e.WatchVMs(ctx, store) })
+	p.loop(crash.NewKeeper(e.CrashDetector(), rep, log, p.cmd.String("name"), time.Now).Run)
+	p.run(e.PollAgents)
+	p.loop(func(ctx context.Context) { e.PollVMList(ctx, store) })
 	if readsLog(p.cmd, s) {
 		p.loop(func(ctx context.Context) { rep.Keep(ctx, log, p.log) })
 	}
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -27,17 +27,17 @@
 	// Protocol tells how the server is spoken to.
 	Protocol config.Protocol
 	// MaxBody and MaxAnswer bound a request's and an unstreamed answer's bytes.
-	MaxBody   int64
-	MaxAnswer int64
+	MaxBody     int64
+	MaxResponse int64
 	// MaxQueued bounds the waiting requests.
 	MaxQueued int
 	// MaxConcurrency bounds the running requests until the configuration says it.
 	MaxConcurrency int
 	// Key authenticates daemons to each other.
 	Key string
-	// Elapsed gives times that count suspensions of the VM, for comparing with each other
+	// SuspendAwareNow gives times that count suspensions of the VM, for comparing with each other
 	// only; nil for those of the agent's own clock.
-	Elapsed func() time.Time
+	SuspendAwareNow func() time.Time
 }
 
 const (
@@ -94,7 +94,7 @@
 		log:         log,
 		incarnation: uuid.NewString(),
 		now:         now,
-		elapsed:     options.Elapsed,
+		elapsed:     options.SuspendAwareNow,
 		waiters:     map[string]*waiter{},
 		idle:        make(chan struct{}),
 		homes:       config.NoOffset,
@@ -122,8 +122,8 @@
 	Policy config.Policy
 	// MaxConcurrency bounds the running requests.
 	MaxConcurrency int
-	// Homes is the last change of where the service's keys live; zero if unknown.
-	Homes config.HomesChange
+	// HomesChange is the last change of where the service's keys live; zero if unknown.
+	HomesChange config.HomesChange
 	// Draining is set while the operators drain the server: its keys move on.
 	Draining bool
 }
@@ -135,9 +135,9 @@
 	a.draining = c.Draining
 	a.queue.Configure(c.MaxConcurrency, c.Policy.PatientPercent)
 	a.keys.SetTimes(a.now(), c.Policy.KeyWindow(), c.Policy.ClockSkew())
-	if c.Homes != (config.HomesChange{}) {
-		a.homes = c.Homes.Offset
-		a.keys.HomesChanged(time.UnixMilli(c.Homes.TimeMs))
+	if c.HomesChange != (config.HomesChange{}) {
+		a.homes = c.HomesChange.Offset
+		a.keys.HomesChanged(time.UnixMilli(c.HomesChange.TimeMs))
 	}
 	a.pump()
 }
@@ -145,8 +145,8 @@
 // Incarnation identifies this run of the agent.
 func (a *Agent) Incarnation() string { return a.incarnation }
 
-// Ledger returns how the requests that arrived here ended.
-func (a *Agent) Ledger() outcome.Counts { return a.ledger.Counts() }
+// OutcomeCounts returns how the requests that arrived here ended.
+func (a *Agent) OutcomeCounts() outcome.Counts { return a.ledger.Counts() }
 
 // Load returns the present load report.
 func (a *Agent) Load() wire.Load {
--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -55,10 +55,10 @@
 	}
 	a := New(Options{
 		Server: "s1", Backend: backend, Protocol: config.ProtocolPlain, Key: "daemon",
-		MaxBody: 1 << 20, MaxAnswer: 1 << 20, MaxQueued: 100, MaxConcurrency: slots,
+		MaxBody: 1 << 20, MaxResponse: 1 << 20, MaxQueued: 100, MaxConcurrency: slots,
 	}, policy, now, logrus.NewEntry(logger))
 	a.recorded(nil)
-	a.Configure(Configuration{Policy: policy, MaxConcurrency: slots, Homes: config.HomesChange{TimeMs: 1}})
+	a.Configure(Configuration{Policy: policy, MaxConcurrency: slots, HomesChange: config.HomesChange{TimeMs: 1}})
 	server := httptest.NewServer(a)
 	cleanup(server.Close)
 	return &bench{agent: a, server: server}
@@ -217,7 +217,7 @@
 		b.do(ask{key: seen, body: "x"})
 		b.agent.Configure(Configuration{
 			Policy: config.Policy{ClockSkewMs: 1}.WithDefaults(), MaxConcurrency: 4,
-			Homes: config.HomesChange{Offset: 7, TimeMs: time.Now().UnixMilli()},
+			HomesChange: config.HomesChange{Offset: 7, TimeMs: time.Now().UnixMilli()},
 		})
 		response, _ := b.do(ask{key: newKey(), body: "x"}) // the entry knows offset 0
 		Expect(response.Header.Get(wire.HeaderCode)).To(Equal("stale-configuration"))
@@ -281,7 +281,7 @@
 		defer response.Body.Close()
 		_, err = io.ReadAll(response.Body)
 		Expect(err).To(HaveOccurred())
-		Expect(b.agent.Ledger().Unknown).To(Equal(int64(1)))
+		Expect(b.agent.OutcomeCounts().Unknown).To(Equal(int64(1)))
 	})
 
 	It("wait their turn and are not run when their caller leaves", func() {
@@ -293,9 +293,9 @@
 		go b.do(ask{body: "second", ctx: ctx})
 		Eventually(func() int { return b.agent.Load().Queued }, "5s").Should(Equal(1))
 		leave()
-		Eventually(func() int64 { return b.agent.Ledger().NotRun }, "5s").Should(Equal(int64(1)))
+		Eventually(func() int64 { return b.agent.OutcomeCounts().NotRun }, "5s").Should(Equal(int64(1)))
 		close(backend.release)
-		Eventually(func() int64 { return b.agent.Ledger().Answered }, "5s").Should(Equal(int64(1)))
+		Eventually(func() int64 { return b.agent.OutcomeCounts().Answered }, "5s").Should(Equal(int64(1)))
 		Expect(backend.runs.Load()).To(Equal(int64(1)))
 	})
 
--- a/internal/agent/call.go
+++ b/internal/agent/call.go
@@ -147,7 +147,7 @@
 		return f
 	}
 	contentType := c.response.Header.Get("Content-Type")
-	if isEventStream(contentType) || c.response.ContentLength > a.options.MaxAnswer {
+	if isEventStream(contentType) || c.response.ContentLength > a.options.MaxResponse {
 		return a.relay(j, c)
 	}
 	answer, f := a.collect(j, c)
@@ -161,9 +161,9 @@
 // collect reads the whole answer and ends the call.
 func (a *Agent) collect(j *job, c *call) (outcome.Answer, *failure.Error) {
 	defer c.cancel()
-	body, err := io.ReadAll(io.LimitReader(c.response.Body, a.options.MaxAnswer+1))
+	body, err := io.ReadAll(io.LimitReader(c.response.Body, a.options.MaxResponse+1))
 	_ = c.response.Body.Close() // the read's error tells what matters
-	if err == nil && int64(len(body)) > a.options.MaxAnswer {
+	if err == nil && int64(len(body)) > a.options.MaxResponse {
 		err = errors.New("answer over the agent's limit")
 	}
 	if err != nil {
--- a/internal/agent/control.go
+++ b/internal/agent/control.go
@@ -11,14 +11,14 @@
 	"github.com/pkg/errors"
 )
 
-// Control serves rpc.Agents for an agent.
-type Control struct {
+// ControlServer serves rpc.Agents for an agent.
+type ControlServer struct {
 	// Agent is what is served.
 	Agent *Agent
 }
 
 // Report implements rpc.Agents.
-func (c *Control) Report(context.Context, *rpc.ReportRequest) (*rpc.LoadReport, error) {
+func (c *ControlServer) Report(context.Context, *rpc.ReportRequest) (*rpc.LoadReport, error) {
 	load := c.Agent.Load()
 	return &rpc.LoadReport{
 		Server: c.Agent.options.Server, Incarnation: c.Agent.incarnation, Leaving: load.Leaving,
@@ -33,7 +33,7 @@
 // Engine implements rpc.Agents. It looks also while the server rests: a connection on the
 // same VM that is closed at once is no request, and without it more servers may end under
 // one request before anybody knows.
-func (c *Control) Engine(ctx context.Context, _ *rpc.EngineRequest) (*rpc.EngineReply, error) {
+func (c *ControlServer) Engine(ctx context.Context, _ *rpc.EngineRequest) (*rpc.EngineReply, error) {
 	backend, err := url.Parse(c.Agent.options.Backend)
 	if err != nil {
 		return nil, errors.Wrap(err, "backend")
--- a/internal/agent/rest_test.go
+++ b/internal/agent/exclusion_test.go
@@ -132,7 +132,7 @@
 	b := benchUntil(t.Cleanup, backend.URL, 1)
 	_, _, err := b.try(ask{})
 	g.Expect(err).NotTo(HaveOccurred())
-	control := &Control{Agent: b.agent}
+	control := &ControlServer{Agent: b.agent}
 	look := func() rpc.EngineState {
 		reply, err := control.Engine(context.Background(), &rpc.EngineRequest{})
 		g.Expect(err).NotTo(HaveOccurred())
--- a/internal/agent/record.go
+++ b/internal/agent/recorder.go
@@ -37,8 +37,8 @@
 	recordAgain   = 2 * time.Second
 )
 
-// Run records the beginning, as soon as the log can be reached, and returns.
-func (r *Recorder) Run(ctx context.Context) error {
+// RecordStart records the beginning, as soon as the log can be reached, and returns.
+func (r *Recorder) RecordStart(ctx context.Context) error {
 	for ctx.Err() == nil {
 		if r.replica.View().Position.HasRecord() && r.begin(ctx) {
 			return nil
--- a/internal/entry/host.go
+++ b/internal/entry/admin.go
@@ -70,7 +70,7 @@
 	}
 	bar := row.Notice.Bar(e.now())
 	switch {
-	case e.picker.Allowed(e.now(), row):
+	case e.picker.Eligible(e.now(), row):
 		return ""
 	case bar != nil:
 		return bar.String()
--- a/internal/entry/chooser.go
+++ b/internal/entry/chooser.go
@@ -28,7 +28,7 @@
 		return dispatch.Choice{}
 	}
 	return dispatch.Choice{
-		Server: x.compiled.servers[name], Load: float64(row.Reported.InFlight + row.Reported.Queued + row.Sent),
+		Server: x.compiled.servers[name], Load: float64(row.Reported.InFlight + row.Reported.Queued + row.SentSinceReport),
 		LoadAge: now.Sub(row.ReportedAt),
 	}
 }
@@ -75,7 +75,7 @@
 func (c tableChooser) RequestSent(server string, _ *dispatch.Request, _ time.Time) {
 	c.entry.mu.Lock()
 	defer c.entry.mu.Unlock()
-	c.entry.table.Sent(server)
+	c.entry.table.RequestSent(server)
 }
 
 // ResponseStarted implements dispatch.Chooser: agents report what runs.
@@ -85,35 +85,35 @@
 func (c tableChooser) RequestEnded(server string, _ *dispatch.Request) {
 	c.entry.mu.Lock()
 	defer c.entry.mu.Unlock()
-	c.entry.table.Ended(server)
+	c.entry.table.RequestEnded(server)
 }
 
 // RecordFailure implements dispatch.Chooser: the agent couldn't be reached, or broke off.
 func (c tableChooser) RecordFailure(server string, now time.Time) {
 	c.entry.mu.Lock()
 	defer c.entry.mu.Unlock()
-	c.entry.table.Failed(now, server)
+	c.entry.table.RecordUnreachable(now, server)
 }
 
 // RecordSuccess implements dispatch.Chooser.
 func (c tableChooser) RecordSuccess(server string, _ time.Duration) {
 	c.entry.mu.Lock()
 	defer c.entry.mu.Unlock()
-	c.entry.table.Succeeded(server)
+	c.entry.table.RecordSuccess(server)
 }
 
 // AcquireRetry implements dispatch.Chooser.
 func (c tableChooser) AcquireRetry(_, customer string, _ time.Time) bool {
 	c.entry.mu.Lock()
 	defer c.entry.mu.Unlock()
-	return c.entry.budget.Retry(customer)
+	return c.entry.budget.Acquire(customer)
 }
 
 // ReleaseRetry implements dispatch.Chooser.
 func (c tableChooser) ReleaseRetry(_, customer string, _ time.Time) {
 	c.entry.mu.Lock()
 	defer c.entry.mu.Unlock()
-	c.entry.budget.GiveBack(customer)
+	c.entry.budget.Release(customer)
 }
 
 // noteFailure counts what the server behind an agent did wrong.
@@ -123,13 +123,13 @@
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.table.Errored(e.now(), server)
+	e.table.RecordError(e.now(), server)
 }
 
 func (e *Entry) noteFailed(server string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.table.Failed(e.now(), server)
+	e.table.RecordUnreachable(e.now(), server)
 }
 
 func (e *Entry) noteLoad(server string, header http.Header) {
@@ -139,7 +139,7 @@
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.table.Report(e.now(), server, header.Get(wire.HeaderIncarnation), load)
+	e.table.UpdateLoad(e.now(), server, header.Get(wire.HeaderIncarnation), load)
 }
 
 // isDialError tells a connection that was never made.
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -33,17 +33,17 @@
 	// DaemonKey authenticates daemons to each other.
 	DaemonKey string
 	// MaxBody and MaxAnswer bound a request's and an unstreamed answer's bytes.
-	MaxBody   int
-	MaxAnswer int64
+	MaxBody     int
+	MaxResponse int64
 	// MaxConcurrent bounds the requests in flight.
 	MaxConcurrent int
-	// ReportsPerSecond bounds the polling of agents, whatever the fleet's size.
-	ReportsPerSecond int
+	// PollsPerSecond bounds the polling of agents, whatever the fleet's size.
+	PollsPerSecond int
 }
 
 // PollInterval is the time between two reports asked of agents.
 func (o Options) PollInterval() time.Duration {
-	return time.Second / time.Duration(o.ReportsPerSecond)
+	return time.Second / time.Duration(o.PollsPerSecond)
 }
 
 // Entry is one entry VM's daemon.
@@ -180,8 +180,8 @@
 	return !e.stopping.Load() && e.replica.View().Position.HasRecord()
 }
 
-// Crashes is what the entry knows of requests that end servers.
-func (e *Entry) Crashes() *crash.Watch { return e.crashes }
+// CrashDetector is what the entry knows of requests that end servers.
+func (e *Entry) CrashDetector() *crash.Watch { return e.crashes }
 
 // Ledger returns how the requests accepted here ended.
 func (e *Entry) Ledger() outcome.Counts { return e.pipeline.OutcomeCounts() }
--- a/internal/entry/entry_suite_test.go
+++ b/internal/entry/entry_suite_test.go
@@ -84,7 +84,7 @@
 	logger := logrus.New()
 	logger.SetOutput(io.Discard)
 	e := entry.New(entry.Options{
-		Name: "entry-1", Zone: "a", MaxBody: 1 << 20, MaxAnswer: 1 << 20, MaxConcurrent: maxConcurrent, ReportsPerSecond: 1,
+		Name: "entry-1", Zone: "a", MaxBody: 1 << 20, MaxResponse: 1 << 20, MaxConcurrent: maxConcurrent, PollsPerSecond: 1,
 	}, rep, time.Now, logrus.NewEntry(logger))
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	Expect(err).NotTo(HaveOccurred())
--- a/internal/entry/entry_test.go
+++ b/internal/entry/entry_test.go
@@ -264,7 +264,7 @@
 
 var _ = Describe("settings", func() {
 	It("pace the polling of agents", func() {
-		Expect(entry.Options{ReportsPerSecond: 20}.PollInterval()).To(Equal(50 * time.Millisecond))
+		Expect(entry.Options{PollsPerSecond: 20}.PollInterval()).To(Equal(50 * time.Millisecond))
 	})
 })
 
--- a/internal/entry/watch.go
+++ b/internal/entry/poll.go
@@ -19,11 +19,11 @@
 	vmListEvery   = 2 * time.Second
 )
 
-// WatchServers polls agents for their load until the context ends. The rate is
+// PollAgents polls agents for their load until the context ends. The rate is
 // bounded by ReportsPerSecond, so the cost stays level as the fleet grows: the
 // server whose report is oldest comes next, servers of the own zone counting as
 // four times older.
-func (e *Entry) WatchServers(ctx context.Context) error {
+func (e *Entry) PollAgents(ctx context.Context) error {
 	tick := time.NewTicker(e.options.PollInterval())
 	defer tick.Stop()
 	due := make(chan *routing.ServerState)
@@ -61,7 +61,7 @@
 func (e *Entry) stalest() *routing.ServerState {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.table.Stalest(e.now())
+	return e.table.NextToPoll(e.now())
 }
 
 func (e *Entry) poll(ctx context.Context, row *routing.ServerState) {
@@ -83,7 +83,7 @@
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.table.Report(e.now(), row.Server.Name, report.Incarnation, load)
+	e.table.UpdateLoad(e.now(), row.Server.Name, report.Incarnation, load)
 }
 
 // agentProber asks the agents whether the servers behind them listen. It implements
@@ -116,9 +116,9 @@
 	Leaving(ctx context.Context) (map[string]bool, error)
 }
 
-// WatchVMs reads the platform's list until the context ends. The list lags, so
+// PollVMList reads the platform's list until the context ends. The list lags, so
 // it only ever takes servers out of routing; what agents say comes first.
-func (e *Entry) WatchVMs(ctx context.Context, list VMList) {
+func (e *Entry) PollVMList(ctx context.Context, list VMList) {
 	ticker := time.NewTicker(vmListEvery)
 	defer ticker.Stop()
 	for {
@@ -143,7 +143,7 @@
 	defer e.mu.Unlock()
 	for name, leaving := range listed {
 		if leaving || !e.now().Before(e.listOlderUntil) {
-			e.table.Listed(name, leaving)
+			e.table.SetListedLeaving(name, leaving)
 		}
 	}
 }
@@ -152,9 +152,9 @@
 // come back from a copy: what its writers wrote meanwhile is back within about two seconds.
 const relistTime = 2300 * time.Millisecond
 
-// ListCameBack notes that the platform's list has come back from an older copy, which may
+// VMListRestored notes that the platform's list has come back from an older copy, which may
 // list leaving servers as up.
-func (e *Entry) ListCameBack() {
+func (e *Entry) VMListRestored() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.listOlderUntil = e.now().Add(relistTime)
--- a/internal/entry/rebuild_test.go
+++ b/internal/entry/rebuild_test.go
@@ -30,7 +30,7 @@
 	logger := logrus.New()
 	logger.SetOutput(io.Discard)
 	rep := replica.New(time.Now)
-	e := New(Options{Name: "e", Zone: "a", ReportsPerSecond: 1}, rep, time.Now, logrus.NewEntry(logger))
+	e := New(Options{Name: "e", Zone: "a", PollsPerSecond: 1}, rep, time.Now, logrus.NewEntry(logger))
 	before := e.index.Load()
 	foldRecord(t, rep, &config.Record{Kind: config.RecordEvent, Event: &config.Event{Actor: "h", Action: config.AuditMap, Object: "Group/g"}})
 	e.rebuild()
--- a/internal/entry/relay.go
+++ b/internal/entry/relay.go
@@ -115,7 +115,7 @@
 		_, err := r.writer.Write(data)
 		return err
 	}
-	if int64(r.body.Len()+len(data)) > r.entry.options.MaxAnswer {
+	if int64(r.body.Len()+len(data)) > r.entry.options.MaxResponse {
 		return errTooLarge
 	}
 	r.body.Write(data)
--- a/internal/entry/oldercopy_test.go
+++ b/internal/entry/restoredlist_test.go
@@ -26,7 +26,7 @@
 			Service: "s", Zone: "a", Address: "127.0.0.1:1", Control: "127.0.0.1:2",
 		}}},
 	}}})
-	e := New(Options{Name: "e", Zone: "a", ReportsPerSecond: 1}, rep, func() time.Time { return now }, logrus.NewEntry(logger))
+	e := New(Options{Name: "e", Zone: "a", PollsPerSecond: 1}, rep, func() time.Time { return now }, logrus.NewEntry(logger))
 	listed := func(leaving bool) bool {
 		e.readVMs(context.Background(), leavingList{"i": leaving})
 		return e.table.Row("i").ListedLeaving
@@ -34,7 +34,7 @@
 	if !listed(true) {
 		t.Fatal("the list isn't taken in")
 	}
-	e.ListCameBack()
+	e.VMListRestored()
 	if !listed(false) {
 		t.Fatal("an older list brought the server back")
 	}
--- a/internal/entry/compiled.go
+++ b/internal/entry/routes.go
@@ -33,7 +33,7 @@
 // homes returns the servers that may run a keyed request, in order.
 func (c *compiled) homes(x *exchange) []*fleet.Server {
 	homes := []*fleet.Server{}
-	for _, server := range routing.Homes(x.homeServers, x.customer.Name, x.intent.Key) {
+	for _, server := range routing.OrderHomes(x.homeServers, x.customer.Name, x.intent.Key) {
 		homes = append(homes, c.servers[server.Name])
 	}
 	return homes
--- a/internal/entry/serve.go
+++ b/internal/entry/serve.go
@@ -243,7 +243,7 @@
 		return false
 	}
 	e.inFlight[x.customer.Name]++
-	e.budget.Request(x.customer.Name)
+	e.budget.RecordRequest(x.customer.Name)
 	return true
 }
 
--- a/internal/platformdaemon/entry.go
+++ b/internal/platformdaemon/entry.go
@@ -56,7 +56,7 @@
 	frontend *frontend.Server
 	// replica has the product's own configuration, steering its selectors.
 	replica  *replica.Replica
-	steering *steering.Steering
+	steering *steering.Filter
 	// configLog is where that configuration lies.
 	configLog platform.ConfigLog
 	api       *admin.Admin
@@ -138,7 +138,7 @@
 
 // ready tells whether the platform may send new connections.
 func (e *EntryDaemon) ready() bool {
-	return !e.leaving.Load() && e.steering.Known() && e.members.Config() != nil && e.members.Servers() != nil
+	return !e.leaving.Load() && e.steering.Ready() && e.members.Config() != nil && e.members.Servers() != nil
 }
 
 // Run serves until the context ends, then finishes what is in flight.
@@ -173,7 +173,7 @@
 	group.Go(func() error { return e.hearLimits(tasks, limits) })
 	for _, task := range []func(context.Context){
 		e.follower.FollowConfig, e.follower.FollowServers, e.askPeers, e.watchSettings,
-		e.followSelectors, e.steering.Follow, e.keepSelectors, e.keepQuarantines,
+		e.followSelectors, e.steering.Run, e.keepSelectors, e.keepQuarantines,
 		func(ctx context.Context) { e.tellCrashes(ctx, crashes) },
 		func(ctx context.Context) { e.tellLimits(ctx, limits) },
 	} {
--- a/internal/platformdaemon/steer.go
+++ b/internal/platformdaemon/selectors.go
@@ -23,13 +23,13 @@
 // registrations, narrowed by the operators' selectors. It implements dispatch.Fleet.
 type steeredFleet struct {
 	*membership.Membership
-	steering *steering.Steering
+	steering *steering.Filter
 }
 
 // Config implements dispatch.Fleet: nothing is served before it's known which
 // selectors there are.
 func (f steeredFleet) Config() *fleet.Config {
-	if !f.steering.Known() {
+	if !f.steering.Ready() {
 		return nil
 	}
 	return f.Membership.Config()
--- a/internal/routing/budget.go
+++ b/internal/routing/budget.go
@@ -21,8 +21,8 @@
 // SetPercent changes the budget's rate.
 func (b *RetryBudget) SetPercent(percent int) { b.percent = float64(percent) / 100 }
 
-// Request earns the customer a part of a retry.
-func (b *RetryBudget) Request(customer string) {
+// RecordRequest earns the customer a part of a retry.
+func (b *RetryBudget) RecordRequest(customer string) {
 	tokens, known := b.tokens[customer]
 	if !known {
 		if len(b.tokens) >= maxBudgets {
@@ -33,8 +33,8 @@
 	b.tokens[customer] = min(tokens+b.percent, burstRetries)
 }
 
-// Retry spends one retry; false means that the budget is used up.
-func (b *RetryBudget) Retry(customer string) bool {
+// Acquire spends one retry; false means that the budget is used up.
+func (b *RetryBudget) Acquire(customer string) bool {
 	if b.tokens[customer] < 1 {
 		return false
 	}
@@ -42,8 +42,8 @@
 	return true
 }
 
-// GiveBack gives a retry back that was spent and not made.
-func (b *RetryBudget) GiveBack(customer string) {
+// Release gives a retry back that was spent and not made.
+func (b *RetryBudget) Release(customer string) {
 	if _, known := b.tokens[customer]; known {
 		b.tokens[customer] = min(b.tokens[customer]+1, burstRetries)
 	}
--- a/internal/routing/pick.go
+++ b/internal/routing/pick.go
@@ -67,7 +67,7 @@
 	p.sample(now, random, q.Candidates, q, &best)
 	p.consider(now, p.table.hints.server(q.Prefix), q, affinityBonus, &best)
 	if best.row == nil {
-		p.scan(now, q, p.Allowed, &best)
+		p.scan(now, q, p.Eligible, &best)
 	}
 	if best.row == nil {
 		p.scan(now, q, p.allowedOutlier, &best)
@@ -116,7 +116,7 @@
 
 func (p *Picker) consider(now time.Time, name string, q Query, bonus float64, best *choice) bool {
 	row := p.table.rows[name]
-	if row == nil || tried(q, row) || !p.Allowed(now, row) {
+	if row == nil || tried(q, row) || !p.Eligible(now, row) {
 		return false
 	}
 	if bonus > 0 && !contains(q.Candidates, row.Server) {
@@ -152,8 +152,8 @@
 	return at < len(candidates) && candidates[at].Name == server.Name
 }
 
-// Allowed tells whether a server passes all filters.
-func (p *Picker) Allowed(now time.Time, row *ServerState) bool {
+// Eligible tells whether a server passes all filters.
+func (p *Picker) Eligible(now time.Time, row *ServerState) bool {
 	return p.outlier.Allow(now, row) && p.allowedOutlier(now, row)
 }
 
--- a/internal/routing/poll.go
+++ b/internal/routing/poll.go
@@ -13,10 +13,10 @@
 	ownZoneUrgency = 4
 )
 
-// Stalest returns a copy of the row whose agent should be asked for a report
+// NextToPoll returns a copy of the row whose agent should be asked for a report
 // next, and marks it as polled. Reports of the own zone count as several times
 // older. It returns nil when all reports are fresh.
-func (t *Table) Stalest(now time.Time) *ServerState {
+func (t *Table) NextToPoll(now time.Time) *ServerState {
 	var oldest *ServerState
 	var oldestAge time.Duration
 	for _, row := range t.rows {
--- a/internal/routing/home.go
+++ b/internal/routing/rendezvous.go
@@ -7,11 +7,11 @@
 	"github.com/crowbridge/crowbridge/internal/selector"
 )
 
-// Homes orders the candidates for an idempotency key by rendezvous hashing:
+// OrderHomes orders the candidates for an idempotency key by rendezvous hashing:
 // every entry with the same configuration computes the same order, and adding
 // or removing a server moves only that server's keys. The first is the key's
 // home; a later one is used only for a key that each home before it has closed.
-func Homes(candidates []*selector.Server, customer, key string) []*selector.Server {
+func OrderHomes(candidates []*selector.Server, customer, key string) []*selector.Server {
 	type weighted struct {
 		server *selector.Server
 		weight uint64
--- a/internal/routing/routing_test.go
+++ b/internal/routing/routing_test.go
@@ -42,7 +42,7 @@
 	}
 	table.Sync(byName)
 	for _, s := range servers {
-		table.Report(start, s.Name, "1", wire.Load{Limit: 8, ServiceTime: 10 * time.Millisecond})
+		table.UpdateLoad(start, s.Name, "1", wire.Load{Limit: 8, ServiceTime: 10 * time.Millisecond})
 	}
 	return table
 }
@@ -55,7 +55,7 @@
 	counts := map[string]int{}
 	for range n {
 		name := picker.Pick(start, random, Query{Candidates: servers})
-		table.Sent(name)
+		table.RequestSent(name)
 		counts[name]++
 	}
 	return counts
@@ -96,7 +96,7 @@
 				if i == 0 {
 					took = 60 * time.Millisecond
 				}
-				table.Report(start, s.Name, "1", wire.Load{Limit: 8, ServiceTime: took})
+				table.UpdateLoad(start, s.Name, "1", wire.Load{Limit: 8, ServiceTime: took})
 			}
 		}
 		counts := spread(table, servers, 400)
@@ -117,7 +117,7 @@
 		}
 		Expect(same).To(Equal(20))
 		for range 16 {
-			table.Sent(first)
+			table.RequestSent(first)
 		}
 		Expect(picker.Pick(start, random, Query{Candidates: servers, Prefix: 7})).NotTo(Equal(first))
 	})
@@ -128,9 +128,9 @@
 		for i, s := range servers {
 			switch i % 4 {
 			case 0:
-				table.Report(start, s.Name, "1", wire.Load{Leaving: true})
+				table.UpdateLoad(start, s.Name, "1", wire.Load{Leaving: true})
 			case 1:
-				table.Listed(s.Name, true)
+				table.SetListedLeaving(s.Name, true)
 			case 2:
 				s.Spec.Draining = true
 			}
@@ -152,10 +152,10 @@
 		servers := fleet([]string{"a"}, 1)
 		table := tableOf(servers)
 		name := servers[0].Name
-		table.Report(start, name, "1", wire.Load{Leaving: true})
-		table.Report(start, name, "1", wire.Load{}) // an answer that was late
+		table.UpdateLoad(start, name, "1", wire.Load{Leaving: true})
+		table.UpdateLoad(start, name, "1", wire.Load{}) // an answer that was late
 		Expect(table.Row(name).Health).To(Equal(HealthLeaving))
-		table.Report(start, name, "2", wire.Load{})
+		table.UpdateLoad(start, name, "2", wire.Load{})
 		Expect(table.Row(name).Health).To(Equal(HealthUp))
 	})
 
@@ -164,11 +164,11 @@
 		table := tableOf(servers)
 		picker, random := NewPicker(table), newRandom()
 		name := servers[0].Name
-		table.Failed(start, name)
+		table.RecordUnreachable(start, name)
 		Expect(picker.Pick(start, random, Query{Candidates: servers})).To(BeEmpty())
 		Expect(picker.Pick(start.Add(baseBackoff), random, Query{Candidates: servers})).To(Equal(name))
 		for range 20 {
-			table.Failed(start, name)
+			table.RecordUnreachable(start, name)
 		}
 		Expect(picker.Pick(start.Add(maxBackoff), random, Query{Candidates: servers})).To(Equal(name))
 	})
@@ -187,22 +187,22 @@
 		table := tableOf(servers)
 		picker, random := NewPicker(table), newRandom()
 		for range 3 {
-			table.Errored(start, "a-0000")
-			table.Report(start, "a-0000", "1", wire.Load{Limit: 8})
+			table.RecordError(start, "a-0000")
+			table.UpdateLoad(start, "a-0000", "1", wire.Load{Limit: 8})
 		}
 		for range 200 {
 			Expect(picker.Pick(start, random, Query{Candidates: servers})).NotTo(Equal("a-0000"))
 		}
-		Expect(picker.Allowed(start.Add(maxBackoff), table.Row("a-0000"))).To(BeTrue())
-		table.Succeeded("a-0000")
-		Expect(picker.Allowed(start, table.Row("a-0000"))).To(BeTrue())
+		Expect(picker.Eligible(start.Add(maxBackoff), table.Row("a-0000"))).To(BeTrue())
+		table.RecordSuccess("a-0000")
+		Expect(picker.Eligible(start, table.Row("a-0000"))).To(BeTrue())
 	})
 
 	It("never ejects everyone", func() {
 		servers := fleet([]string{"a"}, 3)
 		table := tableOf(servers)
 		for _, s := range servers {
-			table.Errored(start, s.Name)
+			table.RecordError(start, s.Name)
 		}
 		Expect(NewPicker(table).Pick(start, newRandom(), Query{Candidates: servers})).NotTo(BeEmpty())
 	})
@@ -211,14 +211,14 @@
 		servers := fleet([]string{"a"}, 4)
 		servers[0].Spec.Group, servers[1].Spec.Group = "g", "g"
 		table := tableOf(servers)
-		table.Failed(start, servers[0].Name)
+		table.RecordUnreachable(start, servers[0].Name)
 		picker, random := NewPicker(table), newRandom()
 		for range 100 {
 			name := picker.Pick(start.Add(time.Hour), random, Query{Candidates: servers})
 			Expect(name).To(BeElementOf("a-0002", "a-0003"))
 		}
-		table.Report(start, servers[0].Name, "1", wire.Load{Limit: 8})
-		Expect(picker.Allowed(start, table.Row(servers[1].Name))).To(BeTrue())
+		table.UpdateLoad(start, servers[0].Name, "1", wire.Load{Limit: 8})
+		Expect(picker.Eligible(start, table.Row(servers[1].Name))).To(BeTrue())
 	})
 })
 
@@ -235,9 +235,9 @@
 		now := start
 		for range 400 {
 			now = now.Add(100 * time.Millisecond)
-			if row := table.Stalest(now); row != nil {
+			if row := table.NextToPoll(now); row != nil {
 				polls[row.Server.Name]++
-				table.Report(now, row.Server.Name, "1", wire.Load{})
+				table.UpdateLoad(now, row.Server.Name, "1", wire.Load{})
 			}
 		}
 		Expect(polls).To(HaveLen(20))
@@ -246,7 +246,7 @@
 
 	It("leaves servers alone whose report is fresh", func() {
 		table := tableOf(fleet([]string{"a"}, 3))
-		Expect(table.Stalest(start.Add(freshReport / 2))).To(BeNil())
+		Expect(table.NextToPoll(start.Add(freshReport / 2))).To(BeNil())
 	})
 })
 
@@ -255,8 +255,8 @@
 		servers := fleet([]string{"a", "b"}, 5)
 		for i := range 500 {
 			key := fmt.Sprint("key", i)
-			before := Homes(servers, "c", key)
-			after := Homes(append(append([]*selector.Server{}, servers[:3]...), servers[4:]...), "c", key)
+			before := OrderHomes(servers, "c", key)
+			after := OrderHomes(append(append([]*selector.Server{}, servers[:3]...), servers[4:]...), "c", key)
 			if before[0] != servers[3] {
 				Expect(after[0]).To(Equal(before[0]))
 			} else {
@@ -271,13 +271,13 @@
 		b := NewRetryBudget(10)
 		spent := 0
 		for range 1000 {
-			b.Request("a")
-			for b.Retry("a") {
+			b.RecordRequest("a")
+			for b.Acquire("a") {
 				spent++
 			}
 		}
 		Expect(spent).To(BeNumerically("~", 110, 2))
-		b.Request("b")
-		Expect(b.Retry("b")).To(BeTrue())
+		b.RecordRequest("b")
+		Expect(b.Acquire("b")).To(BeTrue())
 	})
 })
--- a/internal/routing/score.go
+++ b/internal/routing/score.go
@@ -14,7 +14,7 @@
 // Score implements Scorer.
 func (LoadScorer) Score(now time.Time, row *ServerState) float64 {
 	limit := max(row.Reported.Limit, 1)
-	reported := float64(row.Reported.InFlight + row.Reported.Queued + row.Sent)
+	reported := float64(row.Reported.InFlight + row.Reported.Queued + row.SentSinceReport)
 	age := now.Sub(row.ReportedAt)
 	trust := float64(reportHalfLife) / float64(reportHalfLife+max(age, 0))
 	load := trust*reported + (1-trust)*float64(row.InFlight)
--- a/internal/routing/table.go
+++ b/internal/routing/table.go
@@ -50,10 +50,10 @@
 	PolledAt time.Time
 	// ListedLeaving is set while the platform's list calls the VM leaving.
 	ListedLeaving bool
-	// Sent counts own requests sent since the last report; InFlight own requests
+	// SentSinceReport counts own requests sent since the last report; InFlight own requests
 	// that have not ended.
-	Sent     int
-	InFlight int
+	SentSinceReport int
+	InFlight        int
 	// Failures to reach the agent in a row, and until when the server is left
 	// alone after them.
 	Failures int
@@ -132,31 +132,31 @@
 // Rows returns all rows.
 func (t *Table) Rows() map[string]*ServerState { return t.rows }
 
-// Listed takes in what the platform's list says of a VM.
-func (t *Table) Listed(name string, leaving bool) {
+// SetListedLeaving takes in what the platform's list says of a VM.
+func (t *Table) SetListedLeaving(name string, leaving bool) {
 	if row := t.rows[name]; row != nil {
 		row.ListedLeaving = leaving
 	}
 }
 
-// Sent notes that a request goes to the server.
-func (t *Table) Sent(name string) {
+// RequestSent notes that a request goes to the server.
+func (t *Table) RequestSent(name string) {
 	if row := t.rows[name]; row != nil {
-		row.Sent++
+		row.SentSinceReport++
 		row.InFlight++
 	}
 }
 
-// Ended notes that a request to the server ended.
-func (t *Table) Ended(name string) {
+// RequestEnded notes that a request to the server ended.
+func (t *Table) RequestEnded(name string) {
 	if row := t.rows[name]; row != nil && row.InFlight > 0 {
 		row.InFlight--
 	}
 }
 
-// Report takes in an agent's load report. What an agent says of itself beats
+// UpdateLoad takes in an agent's load report. What an agent says of itself beats
 // every list: leaving holds until another incarnation speaks.
-func (t *Table) Report(now time.Time, name, incarnation string, load wire.Load) {
+func (t *Table) UpdateLoad(now time.Time, name, incarnation string, load wire.Load) {
 	row := t.rows[name]
 	if row == nil {
 		return
@@ -168,7 +168,7 @@
 	row.Incarnation = incarnation
 	row.Reported = load
 	row.ReportedAt = now
-	row.Sent = 0
+	row.SentSinceReport = 0
 	row.Failures = 0
 	health := HealthUp
 	if load.Leaving || sameLeaving {
@@ -202,8 +202,8 @@
 	maxBackoff  = 15 * time.Second
 )
 
-// Failed notes that the server could not be reached.
-func (t *Table) Failed(now time.Time, name string) {
+// RecordUnreachable notes that the server could not be reached.
+func (t *Table) RecordUnreachable(now time.Time, name string) {
 	row := t.rows[name]
 	if row == nil {
 		return
@@ -220,18 +220,18 @@
 	return min(baseBackoff<<min(failures-1, doublings), maxBackoff)
 }
 
-// Errored notes that the agent was reached and the server behind it failed. A
+// RecordError notes that the agent was reached and the server behind it failed. A
 // server that fails fast reports little load and would attract ever more
 // requests, so it's ejected for a time that grows.
-func (t *Table) Errored(now time.Time, name string) {
+func (t *Table) RecordError(now time.Time, name string) {
 	if row := t.rows[name]; row != nil {
 		row.Errors++
 		row.EjectedUntil = now.Add(backoffAfter(row.Errors))
 	}
 }
 
-// Succeeded notes that the server answered.
-func (t *Table) Succeeded(name string) {
+// RecordSuccess notes that the server answered.
+func (t *Table) RecordSuccess(name string) {
 	if row := t.rows[name]; row != nil {
 		row.Errors = 0
 		row.EjectedUntil = time.Time{}
--- a/internal/steering/steering.go
+++ b/internal/steering/steering.go
@@ -29,8 +29,8 @@
 // customer at this time.
 const NoRoute = "(no route matches)"
 
-// Steering follows the configuration. Safe for concurrent use.
-type Steering struct {
+// Filter follows the configuration. Safe for concurrent use.
+type Filter struct {
 	replica *replica.Replica
 	now     func() time.Time
 	log     *logrus.Entry
@@ -55,14 +55,14 @@
 
 // New returns a steering that allows everything until Follow has compiled a
 // configuration.
-func New(rep *replica.Replica, now func() time.Time, log *logrus.Entry) *Steering {
-	return &Steering{replica: rep, now: now, log: log}
+func New(rep *replica.Replica, now func() time.Time, log *logrus.Entry) *Filter {
+	return &Filter{replica: rep, now: now, log: log}
 }
 
-// Known tells whether the configuration's log has been heard of since the start,
+// Ready tells whether the configuration's log has been heard of since the start,
 // directly or through another daemon, and what it said is in force. Until then nobody
 // can say what is allowed.
-func (s *Steering) Known() bool {
+func (s *Filter) Ready() bool {
 	if s.known.Load() {
 		return true
 	}
@@ -74,8 +74,8 @@
 	return true
 }
 
-// Follow brings each change into force until the context ends.
-func (s *Steering) Follow(ctx context.Context) {
+// Run brings each change into force until the context ends.
+func (s *Filter) Run(ctx context.Context) {
 	for {
 		changed := s.replica.Changed()
 		s.compile(s.replica.View())
@@ -87,7 +87,7 @@
 	}
 }
 
-func (s *Steering) compile(view *config.View) {
+func (s *Filter) compile(view *config.View) {
 	if in := s.inForce(); in != nil && in.index.ConfigOffset() == view.Configured {
 		return
 	}
@@ -110,7 +110,7 @@
 	s.log.WithField("offset", view.Configured).Info("selectors in force")
 }
 
-func (s *Steering) inForce() *rules {
+func (s *Filter) inForce() *rules {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.rules
@@ -119,7 +119,7 @@
 // Allowed returns the servers of a service that a customer's requests may go to now,
 // and the route that decided: "" when no route leads to the service, and all servers
 // are allowed.
-func (s *Steering) Allowed(registry *fleet.Servers, service, customer string) (servers []*fleet.Server, route string) {
+func (s *Filter) Allowed(registry *fleet.Servers, service, customer string) (servers []*fleet.Server, route string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.rules == nil {
@@ -182,7 +182,7 @@
 
 // Explain tells for each server of a service why a customer's requests may not go
 // there now, "" when they may, and the route that decides.
-func (s *Steering) Explain(registry *fleet.Servers, service, customer string) (route string, reasons map[string]string) {
+func (s *Filter) Explain(registry *fleet.Servers, service, customer string) (route string, reasons map[string]string) {
 	servers, route := s.Allowed(registry, service, customer)
 	reasons = map[string]string{}
 	for _, server := range servers {
--- a/internal/steering/steering_test.go
+++ b/internal/steering/steering_test.go
@@ -60,7 +60,7 @@
 
 var _ = Describe("steering", func() {
 	var rep *replica.Replica
-	var s *Steering
+	var s *Filter
 	now := time.Date(2026, 12, 2, 12, 0, 0, 0, time.UTC)
 	registry := fleet.NewServers([]*fleet.Server{
 		{ID: "west", Service: "writer", Zone: "west", Address: "1.1.1.1:1"},
@@ -106,18 +106,18 @@
 
 	It("isn't known before the log has been heard of and what it said is in force", func() {
 		s.compile(rep.View())
-		Expect(s.Known()).To(BeFalse())
+		Expect(s.Ready()).To(BeFalse())
 		apply(manifest)
 		s.rules = nil
-		Expect(s.Known()).To(BeFalse())
+		Expect(s.Ready()).To(BeFalse())
 		s.compile(rep.View())
-		Expect(s.Known()).To(BeTrue())
+		Expect(s.Ready()).To(BeTrue())
 	})
 
 	It("is known when the log is empty", func() {
 		s.compile(rep.View())
 		Expect(rep.Fold(replica.Batch{})).To(Succeed())
-		Expect(s.Known()).To(BeTrue())
+		Expect(s.Ready()).To(BeTrue())
 	})
 
 	It("allows everything while no route leads to a service", func() {
--- a/standins/bench/routing.go
+++ b/standins/bench/routing.go
@@ -34,7 +34,7 @@
 	}
 	table.Sync(byName)
 	for _, s := range servers {
-		table.Report(benchStart, s.Name, "1", wire.Load{Limit: 8, ServiceTime: 10 * time.Millisecond})
+		table.UpdateLoad(benchStart, s.Name, "1", wire.Load{Limit: 8, ServiceTime: 10 * time.Millisecond})
 	}
 	return table
 }
@@ -51,8 +51,8 @@
 			b.ReportAllocs()
 			for i := range b.N {
 				name := picker.Pick(benchStart, random, routing.Query{Candidates: servers, Prefix: uint64(i%100 + 1)})
-				table.Sent(name)
-				table.Ended(name)
+				table.RequestSent(name)
+				table.RequestEnded(name)
 			}
 		})
 		nanoseconds := float64(result.T.Nanoseconds()) / float64(result.N)
@@ -140,7 +140,7 @@
 		entry := s.random.IntN(simEntries)
 		server := choose(entry, prefix)
 		if own {
-			s.tables[entry].Sent(s.fleet[server].Name)
+			s.tables[entry].RequestSent(s.fleet[server].Name)
 		}
 		s.serve(entry, server, prefix, own)
 	}
@@ -151,7 +151,7 @@
 		busy := s.busy(i)
 		took := time.Duration(float64(simService) * s.servers[i].factor)
 		for _, table := range s.tables {
-			table.Report(s.now, server.Name, "1", wire.Load{
+			table.UpdateLoad(s.now, server.Name, "1", wire.Load{
 				InFlight: min(busy, simSlots), Queued: max(busy-simSlots, 0), Limit: simSlots, ServiceTime: took,
 			})
 		}
