--- a/cmd/crowbridged/entry.go
+++ b/cmd/crowbridged/entry.go
@@ -150,7 +150,7 @@
 	p.loop(func(ctx context.Context) {
 		e.CrashDetector().Gossip(ctx, otherEntries(p.cmd, s), daemon.NewControlClient(key))
 	})
-	p.loop(crash.NewKeeper(e.CrashDetector(), rep, log, p.cmd.String("name"), time.Now).Run)
+	p.loop(crash.NewStore(e.CrashDetector(), rep, log, p.cmd.String("name"), time.Now).Run)
 	p.run(e.PollAgents)
 	p.loop(func(ctx context.Context) { e.PollVMList(ctx, store) })
 	if readsLog(p.cmd, s) {
@@ -183,11 +183,11 @@
 	}
 }
 
-func controlHandler(key string, api *admin.Admin, rep *replica.Replica, log replica.Log, watch *crash.Watch) http.Handler {
+func controlHandler(key string, api *admin.Admin, rep *replica.Replica, log replica.Log, watch *crash.Detector) http.Handler {
 	peers := rpc.NewPeersServer(&replica.PeerServer{Replica: rep, Log: log, Seen: api.Seen})
 	mux := http.NewServeMux()
 	mux.Handle(peers.PathPrefix(), daemon.RequireKey(key, peers))
-	crashes := peerrpc.NewCrashesServer(crash.Server{Watch: watch})
+	crashes := peerrpc.NewCrashesServer(crash.RPCServer{Detector: watch})
 	mux.Handle(crashes.PathPrefix(), daemon.RequireKey(key, crashes))
 	mux.Handle(api.PathPrefix(), api.Handler())
 	return mux
--- a/cmd/crowbridged/rank.go
+++ b/cmd/crowbridged/rank.go
@@ -43,7 +43,7 @@
 	daemon.WatchEra(store.Eras(), p.log)
 	engines := platform.NewEngines(upstream.NewTransport())
 	rank := experts.NewAgent(engines, backend.Host, time.Now, p.log)
-	trail := group.NewTrail(p.cmd.String("server"), platform.ConfigLog{Store: store, Now: time.Now}, p.log)
+	trail := group.NewAuditTrail(p.cmd.String("server"), platform.ConfigLog{Store: store, Now: time.Now}, p.log)
 	options := ranks.Options{Daemon: p.cmd.String("server"), CountsBandwidth: countRoom, AuditTrail: trail}
 	key, ip := p.cmd.String("daemon-key"), netip.MustParseAddrPort(p.cmd.String("control")).Addr() // checked with the settings
 	datagrams, err := net.ListenPacket("udp4", p.cmd.String("control"))
--- a/internal/admission/limit.go
+++ b/internal/admission/limit.go
@@ -57,7 +57,7 @@
 
 // Expect returns how long a request of a cost will probably run; 0 when nothing
 // is known yet.
-func (l *Limit) Expect(cost float64) time.Duration {
+func (l *Limit) EstimateDuration(cost float64) time.Duration {
 	return time.Duration(l.recent * cost * float64(time.Second))
 }
 
--- a/internal/admission/queue.go
+++ b/internal/admission/queue.go
@@ -79,7 +79,7 @@
 	if len(q.run) == 0 {
 		return 0
 	}
-	return time.Duration(expectMargin * float64(q.limit.Expect(request.Cost)))
+	return time.Duration(expectMargin * float64(q.limit.EstimateDuration(request.Cost)))
 }
 
 // EstimateWait is how long the request would wait for its start, judged by the
@@ -107,7 +107,7 @@
 
 // Next dispatches every request that may start now. The caller must start each
 // and end it with Done.
-func (q *Queue) Next(now time.Time) []Request {
+func (q *Queue) Dispatch(now time.Time) []Request {
 	var granted []Request
 	for len(q.run) < q.limit.Current() {
 		item := q.pick(now)
--- a/internal/admission/queue_property_test.go
+++ b/internal/admission/queue_property_test.go
@@ -50,7 +50,7 @@
 
 func (m *model) settle(t *rapid.T) {
 	m.refuse(t)
-	for _, request := range m.queue.Next(m.now) {
+	for _, request := range m.queue.Dispatch(m.now) {
 		m.move(t, request.ID, fateQueued, fateRunning)
 		if !request.Deadline.After(m.now) {
 			t.Fatalf("%s started after its deadline", request.ID)
@@ -66,7 +66,7 @@
 }
 
 func (m *model) refuse(t *rapid.T) {
-	for _, refusal := range m.queue.Expired(m.now) {
+	for _, refusal := range m.queue.TakeRefusals(m.now) {
 		m.move(t, refusal.Request.ID, fateQueued, fateNotRun)
 		if refusal.Failure.Outcome != "not-run" || refusal.Failure.RetryAfter <= 0 {
 			t.Fatalf("a request given up on must be told so and when to come back: %+v", refusal.Failure)
--- a/internal/admission/queue_test.go
+++ b/internal/admission/queue_test.go
@@ -34,7 +34,7 @@
 	now := epoch
 	got := map[string]float64{}
 	for range n {
-		for _, r := range q.Next(now) {
+		for _, r := range q.Dispatch(now) {
 			got[r.Customer] += r.Cost
 			now = now.Add(time.Millisecond)
 			q.Done(now, r.ID, r.Cost, true)
@@ -89,7 +89,7 @@
 		charged := map[string]float64{}
 		now := epoch
 		for range 400 {
-			for _, r := range q.Next(now) {
+			for _, r := range q.Dispatch(now) {
 				cost := 10.0
 				if r.Customer == "c1" {
 					cost = 40
@@ -106,11 +106,11 @@
 		q := NewQueue(Options{Limit: LimitOptions{Min: 1, Max: 1}, MaxQueued: 4, PatientPercent: 10})
 		for id := range 5 {
 			Expect(q.Offer(epoch, request(id, "greedy", config.ClassNormal, 10))).To(BeNil())
-			q.Next(epoch)
+			q.Dispatch(epoch)
 		}
 		Expect(q.Offer(epoch, request(98, "greedy", config.ClassNormal, 10))).NotTo(BeNil())
 		Expect(q.Offer(epoch, request(99, "modest", config.ClassNormal, 10))).To(BeNil())
-		refused := q.Expired(epoch)
+		refused := q.TakeRefusals(epoch)
 		Expect(refused).To(HaveLen(1))
 		Expect(refused[0].Request.Customer).To(Equal("greedy"))
 		Expect(refused[0].Failure.RetryAfter).To(BeNumerically(">", 0))
@@ -124,7 +124,7 @@
 			Expect(q.Offer(epoch, request(id, "a", config.ClassPatient, 10))).To(BeNil())
 		}
 		Expect(q.Offer(epoch, request(1000, "b", config.ClassUrgent, 10))).To(BeNil())
-		started := q.Next(epoch)
+		started := q.Dispatch(epoch)
 		Expect(started).To(HaveLen(1))
 		Expect(started[0].ID).To(Equal("1000"))
 	})
@@ -134,9 +134,9 @@
 		for id := range 100 {
 			Expect(q.Offer(epoch, request(id, "a", config.ClassPatient, 10))).To(BeNil())
 		}
-		Expect(q.Next(epoch)).To(HaveLen(3))
+		Expect(q.Dispatch(epoch)).To(HaveLen(3))
 		Expect(q.Offer(epoch, request(1000, "b", config.ClassUrgent, 10))).To(BeNil())
-		Expect(q.Next(epoch)).To(HaveLen(1))
+		Expect(q.Dispatch(epoch)).To(HaveLen(1))
 	})
 
 	It("guarantee patient work its share", func() {
@@ -162,7 +162,7 @@
 		for range 50 {
 			id++
 			Expect(q.Offer(now, request(id, "a", config.ClassNormal, 10))).To(BeNil())
-			for _, r := range q.Next(now) {
+			for _, r := range q.Dispatch(now) {
 				now = now.Add(100 * time.Millisecond)
 				q.Done(now, r.ID, r.Cost, true)
 			}
@@ -171,7 +171,7 @@
 			id++
 			Expect(q.Offer(now, request(id, "a", config.ClassNormal, 10))).To(BeNil())
 		}
-		q.Next(now)
+		q.Dispatch(now)
 		late := request(9999, "a", config.ClassNormal, 10)
 		late.Deadline = now.Add(time.Second)
 		refused := q.Offer(now, late)
@@ -208,7 +208,7 @@
 			Expect(q.Offer(now, r)).To(BeNil())
 		}
 		for range 200 {
-			started := q.Next(now)
+			started := q.Dispatch(now)
 			now = now.Add(10 * time.Millisecond)
 			for _, r := range started {
 				q.Done(now, r.ID, r.Cost, true)
--- a/internal/admission/refusal.go
+++ b/internal/admission/refusal.go
@@ -44,7 +44,7 @@
 // Expired takes out and returns the requests that won't run any more, each with
 // its final answer: those whose deadline has passed, those that made room, and
 // those that Next gave up. Call it before and after Next.
-func (q *Queue) Expired(now time.Time) []Refusal {
+func (q *Queue) TakeRefusals(now time.Time) []Refusal {
 	var refused []Refusal
 	for _, request := range q.hopeless {
 		refused = append(refused, Refusal{Request: request, Failure: failure.NotRun(failure.StepQueue, "",
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -70,7 +70,7 @@
 	timer    *time.Timer
 	// notice is what the server has said of itself, lookedAt when it was last looked
 	// whether it has ended.
-	notice   eligibility.Notice
+	notice   eligibility.Report
 	lookedAt time.Time
 	// limits has the limit that the server has named.
 	limits *ratelimit.Table
@@ -134,10 +134,10 @@
 	defer a.mu.Unlock()
 	a.draining = c.Draining
 	a.queue.Configure(c.MaxConcurrency, c.Policy.PatientPercent)
-	a.keys.SetTimes(a.now(), c.Policy.KeyWindow(), c.Policy.ClockSkew())
+	a.keys.SetWindow(a.now(), c.Policy.KeyWindow(), c.Policy.ClockSkew())
 	if c.HomesChange != (config.HomesChange{}) {
 		a.homes = c.HomesChange.Offset
-		a.keys.HomesChanged(time.UnixMilli(c.HomesChange.TimeMs))
+		a.keys.MarkHomesChanged(time.UnixMilli(c.HomesChange.TimeMs))
 	}
 	a.pump()
 }
@@ -244,7 +244,7 @@
 func (a *Agent) pump() {
 	now := a.now()
 	a.refuseExpired(now)
-	for _, request := range a.queue.Next(now) {
+	for _, request := range a.queue.Dispatch(now) {
 		if w := a.take(request.ID); w != nil {
 			close(w.start)
 		}
@@ -254,7 +254,7 @@
 }
 
 func (a *Agent) refuseExpired(now time.Time) {
-	for _, refusal := range a.queue.Expired(now) {
+	for _, refusal := range a.queue.TakeRefusals(now) {
 		refusal.Failure.Peer = a.options.Server
 		if w := a.take(refusal.Request.ID); w != nil {
 			w.refused <- refusal.Failure
@@ -289,16 +289,16 @@
 
 // verdictStale says that entry and agent disagree about where keys live; it's
 // the agent's own, beside those of the key table.
-const verdictStale outcome.Verdict = -1
+const verdictStale outcome.Decision = -1
 
 // beginKey asks the key table whether a keyed request may start. A key that was
 // never seen is taken only from an entry that knows the same homes: one of the
 // two would send it elsewhere.
-func (a *Agent) beginKey(key outcome.Key, bodyHash string, homes int64) (outcome.Verdict, outcome.Answer, <-chan struct{}) {
+func (a *Agent) beginKey(key outcome.Key, bodyHash string, homes int64) (outcome.Decision, outcome.Response, <-chan struct{}) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if homes != a.homes && !a.keys.Knows(key) {
-		return verdictStale, outcome.Answer{}, nil
+	if homes != a.homes && !a.keys.Has(key) {
+		return verdictStale, outcome.Response{}, nil
 	}
 	bar := a.bar()
 	serverLeaves := bar != nil && bar.Reason == eligibility.Leaving
@@ -306,7 +306,7 @@
 }
 
 // endKey records how a keyed request that was permitted to run ended.
-func (a *Agent) endKey(key outcome.Key, end failure.Outcome, answer outcome.Answer) {
+func (a *Agent) endKey(key outcome.Key, end failure.Outcome, answer outcome.Response) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	switch end {
@@ -315,8 +315,8 @@
 	case failure.OutcomeNotRun:
 		a.keys.Release(key)
 	case failure.OutcomeUnknown:
-		a.keys.Lose(a.now(), key)
+		a.keys.MarkLost(a.now(), key)
 	default:
-		a.keys.Lose(a.now(), key)
+		a.keys.MarkLost(a.now(), key)
 	}
 }
--- a/internal/agent/call.go
+++ b/internal/agent/call.go
@@ -63,11 +63,11 @@
 	request.Header.Set(wire.HeaderRequestID, j.envelope.RequestID)
 	asked := a.elapsed()
 	response, err := transport.RoundTrip(request)
-	var barred *eligibility.BarredError
+	var barred *eligibility.ExcludedError
 	if errors.As(permission.Err(), &barred) {
 		cancel()
 		a.done(j.envelope.RequestID, 0, true)
-		return nil, a.barred(barred.Bar)
+		return nil, a.barred(barred.Exclusion)
 	}
 	if err != nil {
 		f := a.callFailure(ctx, err)
@@ -159,7 +159,7 @@
 }
 
 // collect reads the whole answer and ends the call.
-func (a *Agent) collect(j *job, c *call) (outcome.Answer, *failure.Error) {
+func (a *Agent) collect(j *job, c *call) (outcome.Response, *failure.Error) {
 	defer c.cancel()
 	body, err := io.ReadAll(io.LimitReader(c.response.Body, a.options.MaxResponse+1))
 	_ = c.response.Body.Close() // the read's error tells what matters
@@ -168,12 +168,12 @@
 	}
 	if err != nil {
 		a.done(j.envelope.RequestID, 0, false)
-		return outcome.Answer{}, failure.Unknown(failure.StepRelay, a.options.Server, failure.CodeServerLost, "answer cut: "+err.Error())
+		return outcome.Response{}, failure.Unknown(failure.StepRelay, a.options.Server, failure.CodeServerLost, "answer cut: "+err.Error())
 	}
 	a.done(j.envelope.RequestID, a.answerCost(body), c.response.StatusCode < http.StatusInternalServerError)
 	header := http.Header{}
 	copyHeaders(header, c.response.Header)
-	return outcome.Answer{Status: c.response.StatusCode, Header: header, Body: body}, nil
+	return outcome.Response{Status: c.response.StatusCode, Header: header, Body: body}, nil
 }
 
 // usage is the part of an engine's answer that tells its cost.
--- a/internal/agent/control.go
+++ b/internal/agent/control.go
@@ -44,7 +44,7 @@
 	switch upstream.ProbeAddress(ctx, backend.Host) {
 	case crash.Listening:
 		reply.State = rpc.EngineState_ENGINE_STATE_LISTENING
-	case crash.Ended:
+	case crash.Exited:
 		c.Agent.serverEnded()
 		reply.State = rpc.EngineState_ENGINE_STATE_ENDED
 	case crash.Unknown:
--- a/internal/agent/exclusion.go
+++ b/internal/agent/exclusion.go
@@ -40,25 +40,25 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	now := a.elapsed()
-	if leaving && a.notice.Leave(now) {
+	if leaving && a.notice.MarkLeaving(now) {
 		a.log.Info("server says that it leaves")
 	}
 	if rest > 0 {
-		left := a.notice.AskForRest(rest, now)
+		left := a.notice.RecordRest(rest, now)
 		a.log.WithFields(logrus.Fields{"asked_ms": rest.Milliseconds(), "left_ms": left.Milliseconds()}).Info("server asks for rest")
 	}
 	a.refuseWaiting(a.bar())
 }
 
 // bar returns why nothing may be started now, or nil. The caller holds mu.
-func (a *Agent) bar() *eligibility.Bar {
+func (a *Agent) bar() *eligibility.Exclusion {
 	now := a.elapsed()
-	bar := a.notice.Bar(now)
+	bar := a.notice.Exclusion(now)
 	if bar == nil || bar.Reason != eligibility.Leaving {
 		return bar
 	}
-	if now.Sub(a.notice.SaidAt()) >= longestLeaving {
-		a.notice = eligibility.Notice{}
+	if now.Sub(a.notice.ReportedAt()) >= longestLeaving {
+		a.notice = eligibility.Report{}
 		return nil
 	}
 	if now.Sub(a.lookedAt) >= endLook {
@@ -73,16 +73,16 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if bar := a.bar(); bar != nil {
-		return &eligibility.BarredError{Bar: bar}
+		return &eligibility.ExcludedError{Exclusion: bar}
 	}
-	if left := a.limits.Take(a.options.Server, wantOf(j.envelope.Customer, j.envelope.Class), a.elapsed()); left > 0 {
-		return &eligibility.BarredError{Bar: &eligibility.Bar{Reason: eligibility.Limited, Left: left}}
+	if left := a.limits.Acquire(a.options.Server, wantOf(j.envelope.Customer, j.envelope.Class), a.elapsed()); left > 0 {
+		return &eligibility.ExcludedError{Exclusion: &eligibility.Exclusion{Reason: eligibility.Limited, Remaining: left}}
 	}
 	return nil
 }
 
 // refuseWaiting refuses all that waits for its turn, unless bar is nil. The caller holds mu.
-func (a *Agent) refuseWaiting(bar *eligibility.Bar) {
+func (a *Agent) refuseWaiting(bar *eligibility.Exclusion) {
 	if bar == nil {
 		return
 	}
@@ -94,19 +94,19 @@
 }
 
 // barred is the refusal of a request that may not be started.
-func (a *Agent) barred(bar *eligibility.Bar) *failure.Error {
+func (a *Agent) barred(bar *eligibility.Exclusion) *failure.Error {
 	return failure.NotRun(failure.StepQueue, a.options.Server, bar.Code(), bar.String()).After(restLeft(bar))
 }
 
 // restLeft is for how long entries needn't ask an agent whose server is barred.
-func restLeft(bar *eligibility.Bar) time.Duration {
+func restLeft(bar *eligibility.Exclusion) time.Duration {
 	switch {
 	case bar == nil:
 		return 0
-	case bar.Left == 0:
+	case bar.Remaining == 0:
 		return comeBack
 	default:
-		return bar.Left
+		return bar.Remaining
 	}
 }
 
@@ -117,7 +117,7 @@
 	if bar := a.bar(); bar != nil {
 		return restLeft(bar)
 	}
-	return a.limits.Next(a.options.Server, a.elapsed())
+	return a.limits.UntilAvailable(a.options.Server, a.elapsed())
 }
 
 // lookForEnd looks whether a server that leaves has ended: its next start has said nothing.
@@ -128,7 +128,7 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), engineTimeout)
 	defer cancel()
-	if upstream.ProbeAddress(ctx, backend.Host) == crash.Ended {
+	if upstream.ProbeAddress(ctx, backend.Host) == crash.Exited {
 		a.serverEnded()
 	}
 }
@@ -138,8 +138,8 @@
 func (a *Agent) serverEnded() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if bar := a.notice.Bar(a.elapsed()); bar != nil {
-		a.notice, a.limits = eligibility.Notice{}, newLimits()
+	if bar := a.notice.Exclusion(a.elapsed()); bar != nil {
+		a.notice, a.limits = eligibility.Report{}, newLimits()
 		a.log.WithField("said", bar.String()).Info("server has ended: its word doesn't bind its next start")
 	}
 }
--- a/internal/agent/handler.go
+++ b/internal/agent/handler.go
@@ -119,12 +119,12 @@
 	for {
 		verdict, answer, done := a.beginKey(key, requestHash(j), j.envelope.Homes)
 		switch verdict {
-		case outcome.VerdictRun:
+		case outcome.DecisionRun:
 			return a.runKeyed(j, key)
-		case outcome.VerdictReplay:
+		case outcome.DecisionReplay:
 			a.replay(j, answer)
 			return nil
-		case outcome.VerdictWait:
+		case outcome.DecisionWait:
 			if f := a.await(j, done); f != nil {
 				return f
 			}
@@ -147,19 +147,19 @@
 		"an earlier request with this key is still running: ask again with the same key").After(comeBack)
 }
 
-func (a *Agent) keyRefusal(j *job, verdict outcome.Verdict) *failure.Error {
+func (a *Agent) keyRefusal(j *job, verdict outcome.Decision) *failure.Error {
 	server := a.options.Server
 	switch verdict {
-	case outcome.VerdictConflict:
+	case outcome.DecisionConflict:
 		return failure.NotRun(failure.StepQueue, server, failure.CodeKeyConflict,
 			"this key was used for another request: use a new key")
 	case verdictStale:
 		return failure.Unknown(failure.StepQueue, server, failure.CodeStaleHomes,
 			"entry and agent know different homes for this key: ask again").After(comeBack)
-	case outcome.VerdictFull:
+	case outcome.DecisionFull:
 		return failure.NotRun(failure.StepQueue, server, failure.CodeOverloaded,
 			"no room for more idempotency keys").After(comeBack)
-	case outcome.VerdictClosed:
+	case outcome.DecisionClosed:
 		j.writer.Header().Set(wire.HeaderKeyClosed, "1")
 		return failure.NotRun(failure.StepQueue, server, failure.CodeLeaving, "the server is leaving; the key may move on").After(comeBack)
 	default:
@@ -173,12 +173,12 @@
 func (a *Agent) runKeyed(j *job, key outcome.Key) *failure.Error {
 	answer, f := a.admitAndCall(j)
 	if f != nil {
-		a.endKey(key, f.Outcome, outcome.Answer{})
+		a.endKey(key, f.Outcome, outcome.Response{})
 		return f
 	}
 	recorded, f := a.collect(j, answer)
 	if f != nil {
-		a.endKey(key, f.Outcome, outcome.Answer{})
+		a.endKey(key, f.Outcome, outcome.Response{})
 		return f
 	}
 	a.endKey(key, failure.OutcomeAnswered, recorded)
@@ -186,12 +186,12 @@
 	return nil
 }
 
-func (a *Agent) replay(j *job, answer outcome.Answer) {
+func (a *Agent) replay(j *job, answer outcome.Response) {
 	j.writer.Header().Set(wire.HeaderReplayed, "1")
 	a.write(j, answer)
 }
 
-func (a *Agent) write(j *job, answer outcome.Answer) {
+func (a *Agent) write(j *job, answer outcome.Response) {
 	copyHeaders(j.writer.Header(), answer.Header)
 	a.stamp(j.writer.Header())
 	j.writer.Header().Set(wire.HeaderOutcome, string(failure.OutcomeAnswered))
--- a/internal/agent/ratelimit.go
+++ b/internal/agent/ratelimit.go
@@ -18,8 +18,8 @@
 func newLimits() *ratelimit.Table { return ratelimit.New(rand.Uint64()|1, rand.Float64) }
 
 // wantOf is what decides about a customer's request when little of the limit is left.
-func wantOf(customer string, class config.Class) ratelimit.Want {
-	return ratelimit.Want{Customer: customer, Behind: enginePriority(class)}
+func wantOf(customer string, class config.Class) ratelimit.Request {
+	return ratelimit.Request{Customer: customer, PriorityGap: enginePriority(class)}
 }
 
 // hearLimit takes in what the server says of the requests that it takes a second, in the answer
@@ -34,10 +34,10 @@
 	}
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	word := ratelimit.Word{Named: named, PerSecond: limit, Asked: asked, Heard: a.elapsed()}
-	if before, changed := a.limits.Heard(a.options.Server, word); changed {
+	word := ratelimit.Limit{Present: named, PerSecond: limit, RequestedAt: asked, ReceivedAt: a.elapsed()}
+	if before, changed := a.limits.UpdateLimit(a.options.Server, word); changed {
 		a.log.WithFields(logrus.Fields{
-			"limit": limit, "named": named, "before": before.PerSecond, "before_named": before.Named,
+			"limit": limit, "named": named, "before": before.PerSecond, "before_named": before.Present,
 		}).Info("server names another limit")
 	}
 }
@@ -46,9 +46,9 @@
 // returns nil. The caller holds mu.
 func (a *Agent) overLimit(r admission.Request) *failure.Error {
 	want, now := wantOf(r.Customer, r.Class), a.elapsed()
-	if a.limits.Left(a.options.Server, want, now) == 0 {
+	if a.limits.Wait(a.options.Server, want, now) == 0 {
 		return nil
 	}
 	return failure.NotRun(failure.StepQueue, a.options.Server, failure.CodeLimited,
-		"the server's limit allows no request now").After(a.limits.Refuse([]string{a.options.Server}, want, now))
+		"the server's limit allows no request now").After(a.limits.RecordRefusal([]string{a.options.Server}, want, now))
 }
--- a/internal/agent/recorder.go
+++ b/internal/agent/recorder.go
@@ -87,7 +87,7 @@
 	return true
 }
 
-func inheritance(h *config.Handover) *outcome.Inheritance {
+func inheritance(h *config.Handover) *outcome.Handover {
 	if h == nil {
 		return nil
 	}
@@ -95,8 +95,8 @@
 	for _, hash := range h.Hashes() {
 		seen[hash] = true
 	}
-	return &outcome.Inheritance{
-		CoveredFrom: time.UnixMilli(h.CoveredFromMs), Sealed: time.UnixMilli(h.SealedMs), Untimed: h.Untimed, Seen: seen,
+	return &outcome.Handover{
+		CoveredFrom: time.UnixMilli(h.CoveredFromMs), SealedAt: time.UnixMilli(h.SealedMs), CoversUntimed: h.Untimed, Seen: seen,
 	}
 }
 
@@ -116,8 +116,8 @@
 	err := r.append(ctx, &config.AgentEvent{
 		Server: r.agent.options.Server, Incarnation: r.agent.incarnation,
 		Handover: &config.Handover{
-			SealedMs: handover.Sealed.UnixMilli(), CoveredFromMs: handover.CoveredFrom.UnixMilli(),
-			Untimed: handover.Untimed, Seen: config.PackHashes(hashes),
+			SealedMs: handover.SealedAt.UnixMilli(), CoveredFromMs: handover.CoveredFrom.UnixMilli(),
+			Untimed: handover.CoversUntimed, Seen: config.PackHashes(hashes),
 		},
 	})
 	if err != nil {
@@ -139,13 +139,13 @@
 	return errors.Wrap(err, "no entry reaches the log")
 }
 
-func (a *Agent) recorded(inherited *outcome.Inheritance) {
+func (a *Agent) recorded(inherited *outcome.Handover) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.keys.Recorded(inherited)
+	a.keys.MarkRecorded(inherited)
 }
 
-func (a *Agent) seal() *outcome.Inheritance {
+func (a *Agent) seal() *outcome.Handover {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.keys.Seal(a.now())
--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -34,7 +34,7 @@
 	startBoot   time.Duration
 	lookedAt    time.Time
 	suspended   time.Duration
-	onWake      func(suspended time.Duration)
+	onResume    func(suspended time.Duration)
 }
 
 // New returns a clock of the system. Where the system doesn't tell what suspensions take,
@@ -52,7 +52,7 @@
 func NewFrom(steady func() time.Time, boot func() (time.Duration, error)) (*Clock, error) {
 	first, err := boot()
 	now := steady()
-	c := &Clock{steady: steady, boot: boot, startSteady: now, startBoot: first, lookedAt: now, onWake: func(time.Duration) {}}
+	c := &Clock{steady: steady, boot: boot, startSteady: now, startBoot: first, lookedAt: now, onResume: func(time.Duration) {}}
 	if err != nil {
 		c.boot = func() (time.Duration, error) { return 0, err }
 	}
@@ -70,7 +70,7 @@
 
 // OnWake calls f after each suspension that is noticed, with how long it was. Call it
 // before the first Now.
-func (c *Clock) OnWake(f func(suspended time.Duration)) { c.onWake = f }
+func (c *Clock) OnResume(f func(suspended time.Duration)) { c.onResume = f }
 
 // Now returns a time that counts suspensions.
 func (c *Clock) Now() time.Time {
@@ -83,7 +83,7 @@
 	suspended := c.suspended
 	c.mu.Unlock()
 	if suspended > before {
-		c.onWake(suspended - before)
+		c.onResume(suspended - before)
 	}
 	return now.Add(suspended)
 }
--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -31,7 +31,7 @@
 	g := NewWithT(t)
 	v, c := newVM(t)
 	var woke []time.Duration
-	c.OnWake(func(d time.Duration) { woke = append(woke, d) })
+	c.OnResume(func(d time.Duration) { woke = append(woke, d) })
 	began := c.Now()
 	v.runs(time.Second)
 	g.Expect(c.Now().Sub(began)).To(Equal(time.Second))
@@ -49,7 +49,7 @@
 func TestNeitherDriftNorFreezeIsASuspension(t *testing.T) {
 	g := NewWithT(t)
 	v, c := newVM(t)
-	c.OnWake(func(d time.Duration) { t.Errorf("woke after %v", d) })
+	c.OnResume(func(d time.Duration) { t.Errorf("woke after %v", d) })
 	began := c.Now()
 	v.suspended(leastSuspension - 1) // as clocks drift
 	v.runs(5 * time.Second)          // a process that stands still while its VM runs
--- a/internal/crash/codec.go
+++ b/internal/crash/codec.go
@@ -14,7 +14,7 @@
 }
 
 // Known says what this daemon knows, for a question to another at an address.
-func (w *Watch) Known(peer string) *peerrpc.CrashesKnown {
+func (w *Detector) Known(peer string) *peerrpc.CrashesKnown {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	known := w.peers[peer]
@@ -22,7 +22,7 @@
 }
 
 // Tell answers such a question.
-func (w *Watch) Tell(known *peerrpc.CrashesKnown) *peerrpc.CrashNews {
+func (w *Detector) Tell(known *peerrpc.CrashesKnown) *peerrpc.CrashNews {
 	from := known.GetChange()
 	if known.GetTable() != w.tableID {
 		from = 0
@@ -35,18 +35,18 @@
 }
 
 // Told takes in the answer of a daemon at an address.
-func (w *Watch) Told(peer string, news *peerrpc.CrashNews) {
+func (w *Detector) Told(peer string, news *peerrpc.CrashNews) {
 	if news == nil {
 		return // a daemon that keeps no table
 	}
-	w.Hear(Decode(news.GetEvidence(), w.now()), "peer "+peer)
+	w.MergeEvidence(Decode(news.GetEvidence(), w.now()), "peer "+peer)
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.peers[peer] = peerTable{id: news.GetTable(), change: news.GetChange()}
 }
 
 // Forget forgets how far other daemons' tables are known, but for those at some addresses.
-func (w *Watch) Forget(but []string) {
+func (w *Detector) RetainPeers(but []string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	kept := make(map[string]peerTable, len(but))
@@ -63,7 +63,7 @@
 	encoded := make([]*peerrpc.CrashEvidence, 0, len(evidence))
 	for _, e := range evidence {
 		encoded = append(encoded, &peerrpc.CrashEvidence{
-			Digest: e.Digest[:], Customer: e.About.Customer, Path: e.About.Path, Server: e.Server, AgeMs: now.Sub(e.At).Milliseconds(), Cleared: e.Cleared,
+			Digest: e.Digest[:], Customer: e.Info.Customer, Path: e.Info.Path, Server: e.Server, AgeMs: now.Sub(e.ExitedAt).Milliseconds(), Cleared: e.Cleared,
 		})
 	}
 	return encoded
@@ -86,8 +86,8 @@
 			continue
 		}
 		evidence = append(evidence, quarantine.Evidence{
-			Digest: quarantine.Digest(m.GetDigest()), About: quarantine.About{Customer: m.GetCustomer(), Path: m.GetPath()}, Server: m.GetServer(), Cleared: m.GetCleared(),
-			At: now.Add(-age(m.GetAgeMs())),
+			Digest: quarantine.Digest(m.GetDigest()), Info: quarantine.RequestInfo{Customer: m.GetCustomer(), Path: m.GetPath()}, Server: m.GetServer(), Cleared: m.GetCleared(),
+			ExitedAt: now.Add(-age(m.GetAgeMs())),
 		})
 	}
 	return evidence
--- a/internal/crash/codec_test.go
+++ b/internal/crash/codec_test.go
@@ -14,7 +14,7 @@
 	now := time.Unix(100000, 0)
 	d := quarantine.DigestOf("c", "POST", "h", "/", nil)
 	good, err := proto.Marshal(&peerrpc.CrashNews{Evidence: Encode([]quarantine.Evidence{
-		{Digest: d, Server: "a", At: now.Add(-time.Second)}, {Digest: d, Server: "b", At: now, Cleared: true},
+		{Digest: d, Server: "a", ExitedAt: now.Add(-time.Second)}, {Digest: d, Server: "b", ExitedAt: now, Cleared: true},
 	}, now)})
 	if err != nil {
 		f.Fatal(err)
@@ -36,8 +36,8 @@
 		table.Merge(Decode(news.GetEvidence(), now), now)
 		known, _ := table.Since(0)
 		for _, e := range known {
-			if e.At.After(now) {
-				t.Fatalf("%s ends at %v, which is to come", e.Server, e.At)
+			if e.ExitedAt.After(now) {
+				t.Fatalf("%s ends at %v, which is to come", e.Server, e.ExitedAt)
 			}
 		}
 		other.Merge(Decode(Encode(known, now), now), now)
--- a/internal/crash/detector.go
+++ b/internal/crash/detector.go
@@ -26,7 +26,7 @@
 	// Listening servers accept connections.
 	Listening
 	// Ended servers have nobody who listens at their address.
-	Ended
+	Exited
 )
 
 // Prober looks whether a server's process listens.
@@ -55,7 +55,7 @@
 
 // Watch keeps a daemon's evidence and finds out what is missing of it. Safe for
 // concurrent use.
-type Watch struct {
+type Detector struct {
 	table  *quarantine.Table
 	prober Prober
 	now    func() time.Time
@@ -67,7 +67,7 @@
 	// changed gets a value when the quarantines may have changed.
 	changed chan struct{}
 	// bars tells why a server gets no requests by its own word, or nil.
-	bars func(server string) *eligibility.Bar
+	bars func(server string) *eligibility.Exclusion
 
 	mu sync.Mutex // taken before the table's
 	// servers is the registry as last seen.
@@ -79,21 +79,21 @@
 }
 
 // New returns a watch. after calls a function after a time.
-func New(prober Prober, now func() time.Time, after func(time.Duration, func()), log *logrus.Entry) *Watch {
-	return &Watch{
+func New(prober Prober, now func() time.Time, after func(time.Duration, func()), log *logrus.Entry) *Detector {
+	return &Detector{
 		table: quarantine.NewTable(), prober: prober, now: now, after: after, log: log,
 		news: make(chan []quarantine.Evidence, newsQueue), tableID: rand.Uint64() | 1, changed: make(chan struct{}, 1),
 		lastCuts: map[string]time.Time{}, peers: map[string]peerTable{},
-		bars: func(string) *eligibility.Bar { return nil },
+		bars: func(string) *eligibility.Exclusion { return nil },
 	}
 }
 
 // SetBars makes the watch heed what servers say of themselves. Call it before the first
 // request.
-func (w *Watch) SetBars(bars func(server string) *eligibility.Bar) { w.bars = bars }
+func (w *Detector) SetExclusions(bars func(server string) *eligibility.Exclusion) { w.bars = bars }
 
 // leaves tells whether a server is to leave, by its registration or its own word.
-func (w *Watch) leaves(server *fleet.Server) bool {
+func (w *Detector) leaves(server *fleet.Server) bool {
 	if server.Leaving {
 		return true
 	}
@@ -102,17 +102,17 @@
 }
 
 // Empty implements dispatch.Quarantine.
-func (w *Watch) Empty() bool { return w.table.Empty() }
+func (w *Detector) Empty() bool { return w.table.Empty() }
 
 // Admit implements dispatch.Quarantine.
-func (w *Watch) Admit(d quarantine.Digest) quarantine.Verdict { return w.table.Enter(d, w.now()) }
+func (w *Detector) Admit(d quarantine.Digest) quarantine.Decision { return w.table.Admit(d, w.now()) }
 
 // Release implements dispatch.Quarantine.
-func (w *Watch) Release(d quarantine.Digest) { w.table.Leave(d) }
+func (w *Detector) Release(d quarantine.Digest) { w.table.Release(d) }
 
 // MarkServed implements dispatch.Quarantine.
-func (w *Watch) MarkServed(d quarantine.Digest) {
-	if cleared := w.table.Served(d); len(cleared) > 0 {
+func (w *Detector) MarkServed(d quarantine.Digest) {
+	if cleared := w.table.MarkServed(d); len(cleared) > 0 {
 		w.log.WithFields(logrus.Fields{"digest": d, "servers": len(cleared)}).Info("request cleared: it has run to a good end")
 		w.tell(cleared)
 		w.wake()
@@ -121,7 +121,7 @@
 
 // ConnectionLost implements dispatch.Quarantine. What a server that is to leave cuts off says
 // nothing against the request.
-func (w *Watch) ConnectionLost(d quarantine.Digest, about quarantine.About, server *fleet.Server) {
+func (w *Detector) ConnectionLost(d quarantine.Digest, about quarantine.RequestInfo, server *fleet.Server) {
 	if registered := w.registered(server.Key()); registered == nil || w.leaves(registered) {
 		return
 	}
@@ -133,12 +133,12 @@
 		w.lastCuts[server.Key()] = now
 		w.mu.Unlock()
 	}
-	if w.table.CutOff(d, about, server.Key(), now) {
+	if w.table.ConnectionLost(d, about, server.Key(), now) {
 		w.after(delay, func() { w.probe(server) })
 	}
 }
 
-func (w *Watch) registered(key string) *fleet.Server {
+func (w *Detector) registered(key string) *fleet.Server {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.servers == nil {
@@ -148,34 +148,34 @@
 }
 
 // probe finds out whether a server has ended, unless that is known by now.
-func (w *Watch) probe(server *fleet.Server) {
-	if !w.table.Undecided(server.Key(), w.now()) {
+func (w *Detector) probe(server *fleet.Server) {
+	if !w.table.ExitPending(server.Key(), w.now()) {
 		return
 	}
 	began := w.now()
 	if bar := w.bars(server.Key()); bar != nil {
 		w.log.WithFields(logrus.Fields{"server": server.ID, "reason": bar.Reason}).
 			Info("server cut requests off and isn't probed, by its own word: taken for alive until it's known to have ended")
-		w.table.Alive(server.Key(), began)
+		w.table.MarkAlive(server.Key(), began)
 		return
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), probeTimeout)
 	defer cancel()
 	switch w.prober.Probe(ctx, server) {
-	case Ended:
+	case Exited:
 		w.MarkExited(server.Key(), "nobody listens at its address")
 	case Listening:
-		w.table.Alive(server.Key(), began)
+		w.table.MarkAlive(server.Key(), began)
 	case Unknown:
 		w.log.WithFields(logrus.Fields{"server": server.ID, "address": server.Address}).
 			Info("server cut requests off and can't be reached: taken for alive until it's known to have ended")
-		w.table.Alive(server.Key(), began)
+		w.table.MarkAlive(server.Key(), began)
 	}
 }
 
 // MarkExited implements dispatch.Quarantine: a server has ended, as cause shows.
-func (w *Watch) MarkExited(server, cause string) {
-	found := w.table.Ended(server, w.now())
+func (w *Detector) MarkExited(server, cause string) {
+	found := w.table.MarkExited(server, w.now())
 	if len(found) == 0 {
 		return
 	}
@@ -187,7 +187,7 @@
 }
 
 // wake makes the keeper look at once.
-func (w *Watch) wake() {
+func (w *Detector) wake() {
 	select {
 	case w.changed <- struct{}{}:
 	default: // it will look
@@ -195,7 +195,7 @@
 }
 
 // tell puts evidence into the queue for other daemons.
-func (w *Watch) tell(evidence []quarantine.Evidence) {
+func (w *Detector) tell(evidence []quarantine.Evidence) {
 	select {
 	case w.news <- evidence:
 	default:
@@ -204,10 +204,10 @@
 }
 
 // News is the evidence that this daemon has found and others should hear of at once.
-func (w *Watch) News() <-chan []quarantine.Evidence { return w.news }
+func (w *Detector) Updates() <-chan []quarantine.Evidence { return w.news }
 
 // Hear takes in another daemon's evidence.
-func (w *Watch) Hear(evidence []quarantine.Evidence, source string) {
+func (w *Detector) MergeEvidence(evidence []quarantine.Evidence, source string) {
 	news := w.table.Merge(evidence, w.now())
 	if len(news) == 0 {
 		return
@@ -218,7 +218,7 @@
 
 // SetEngineReachable takes in what the agent beside a server says of it: that its engine answers, or
 // that nobody listens where it did.
-func (w *Watch) SetEngineReachable(server string, answers bool) {
+func (w *Detector) SetEngineReachable(server string, answers bool) {
 	if !answers {
 		w.MarkExited(server, "its agent finds nobody listening")
 		return
@@ -231,7 +231,7 @@
 	}
 	if age := w.now().Sub(cut); age >= reportLag {
 		if age < soonestRestart {
-			w.table.Alive(server, cut)
+			w.table.MarkAlive(server, cut)
 		}
 		w.mu.Lock()
 		delete(w.lastCuts, server)
@@ -241,7 +241,7 @@
 
 // Keep takes in a state of the registry: servers that are gone without having said that
 // they leave, and those that have started again, have ended.
-func (w *Watch) Keep(servers *fleet.Servers) {
+func (w *Detector) UpdateRegistry(servers *fleet.Servers) {
 	before := w.SetServers(servers)
 	if before == nil {
 		return
@@ -259,7 +259,7 @@
 
 // SetServers takes in the servers that operators list: one that is no longer listed hasn't
 // ended for it. It returns those before.
-func (w *Watch) SetServers(servers *fleet.Servers) (before *fleet.Servers) {
+func (w *Detector) SetServers(servers *fleet.Servers) (before *fleet.Servers) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	before, w.servers = w.servers, servers
@@ -268,11 +268,11 @@
 }
 
 // Table is the daemon's evidence.
-func (w *Watch) Table() *quarantine.Table { return w.table }
+func (w *Detector) Table() *quarantine.Table { return w.table }
 
 // release ends a quarantine, as the operators say.
-func (w *Watch) release(d quarantine.Digest) {
-	if cleared := w.table.Release(d); len(cleared) > 0 {
+func (w *Detector) release(d quarantine.Digest) {
+	if cleared := w.table.EndQuarantine(d); len(cleared) > 0 {
 		w.tell(cleared)
 	}
 }
--- a/internal/crash/detector_test.go
+++ b/internal/crash/detector_test.go
@@ -52,12 +52,12 @@
 	}
 }
 
-func newWorld() (*world, *Watch) {
+func newWorld() (*world, *Detector) {
 	w := &world{now: time.Unix(1000, 0), probes: map[string]Liveness{}}
 	logger, logs := logrustest.NewNullLogger()
 	w.logs = logs
 	watch := New(w, func() time.Time { return w.now }, func(_ time.Duration, f func()) { w.due = append(w.due, f) }, logrus.NewEntry(logger))
-	watch.Keep(registry())
+	watch.UpdateRegistry(registry())
 	return w, watch
 }
 
@@ -85,16 +85,16 @@
 
 var _ = Describe("a server that cuts a request off", func() {
 	var w *world
-	var watch *Watch
+	var watch *Detector
 	d := quarantine.DigestOf("c", "POST", "h", "/", nil)
 
 	BeforeEach(func() { w, watch = newWorld() })
 
-	held := func() quarantine.State { return watch.Table().Verdict(d, w.now).State }
+	held := func() quarantine.State { return watch.Table().Decision(d, w.now).State }
 	told := func() (evidence []quarantine.Evidence) {
 		for {
 			select {
-			case news := <-watch.News():
+			case news := <-watch.Updates():
 				evidence = append(evidence, news...)
 			default:
 				return evidence
@@ -103,8 +103,8 @@
 	}
 
 	It("has ended when nobody listens there", func() {
-		w.probes[plainA.Address] = Ended
-		watch.ConnectionLost(d, quarantine.About{Customer: "c", Path: "/"}, plainA)
+		w.probes[plainA.Address] = Exited
+		watch.ConnectionLost(d, quarantine.RequestInfo{Customer: "c", Path: "/"}, plainA)
 		w.pass(probeDelay)
 		Expect(held()).To(Equal(quarantine.Suspect))
 		Expect(told()).To(HaveLen(1))
@@ -112,57 +112,57 @@
 	})
 
 	It("is probed once, however many requests it cuts off", func() {
-		watch.ConnectionLost(d, quarantine.About{Customer: "c", Path: "/"}, plainA)
-		watch.ConnectionLost(quarantine.DigestOf("c", "POST", "h", "/other", nil), quarantine.About{}, plainA)
+		watch.ConnectionLost(d, quarantine.RequestInfo{Customer: "c", Path: "/"}, plainA)
+		watch.ConnectionLost(quarantine.DigestOf("c", "POST", "h", "/other", nil), quarantine.RequestInfo{}, plainA)
 		w.pass(probeDelay)
 		Expect(w.probed).To(HaveLen(1))
 	})
 
 	It("lives when it listens, until its registration goes", func() {
 		w.probes[plainA.Address] = Listening
-		watch.ConnectionLost(d, quarantine.About{Customer: "c", Path: "/"}, plainA)
+		watch.ConnectionLost(d, quarantine.RequestInfo{Customer: "c", Path: "/"}, plainA)
 		w.pass(probeDelay)
-		Expect(held()).To(Equal(quarantine.Sound))
-		watch.Keep(registry(plainA))
+		Expect(held()).To(Equal(quarantine.Healthy))
+		watch.UpdateRegistry(registry(plainA))
 		Expect(held()).To(Equal(quarantine.Suspect))
 	})
 
 	It("has ended when it registers with another start", func() {
 		again := *plainA
 		again.Incarnation = "a@7"
-		watch.ConnectionLost(d, quarantine.About{Customer: "c", Path: "/"}, plainA)
-		watch.Keep(fleet.NewServers([]*fleet.Server{&again, plainB, leaves, rank}))
+		watch.ConnectionLost(d, quarantine.RequestInfo{Customer: "c", Path: "/"}, plainA)
+		watch.UpdateRegistry(fleet.NewServers([]*fleet.Server{&again, plainB, leaves, rank}))
 		Expect(held()).To(Equal(quarantine.Suspect))
 		Expect(told()).To(HaveLen(1))
 	})
 
 	It("isn't probed while it wants nothing by its own word, and says nothing against the request once it leaves by it", func() {
-		bars := map[string]*eligibility.Bar{"a": {Reason: eligibility.Resting}}
-		watch.SetBars(func(server string) *eligibility.Bar { return bars[server] })
-		watch.ConnectionLost(d, quarantine.About{Customer: "c", Path: "/"}, plainA)
+		bars := map[string]*eligibility.Exclusion{"a": {Reason: eligibility.Resting}}
+		watch.SetExclusions(func(server string) *eligibility.Exclusion { return bars[server] })
+		watch.ConnectionLost(d, quarantine.RequestInfo{Customer: "c", Path: "/"}, plainA)
 		w.pass(probeDelay)
 		Expect(w.probed).To(BeEmpty())
-		Expect(held()).To(Equal(quarantine.Sound))
+		Expect(held()).To(Equal(quarantine.Healthy))
 		Expect(w.logs.LastEntry().Message).To(ContainSubstring("isn't probed"))
-		bars["b"] = &eligibility.Bar{Reason: eligibility.Leaving}
-		watch.ConnectionLost(d, quarantine.About{Customer: "c", Path: "/"}, plainB)
-		watch.Keep(registry(plainB))
-		Expect(held()).To(Equal(quarantine.Sound))
+		bars["b"] = &eligibility.Exclusion{Reason: eligibility.Leaving}
+		watch.ConnectionLost(d, quarantine.RequestInfo{Customer: "c", Path: "/"}, plainB)
+		watch.UpdateRegistry(registry(plainB))
+		Expect(held()).To(Equal(quarantine.Healthy))
 		Expect(told()).To(BeEmpty())
 	})
 
 	It("says nothing against the request when it was to leave, or has left", func() {
-		watch.ConnectionLost(d, quarantine.About{Customer: "c", Path: "/"}, leaves)
-		watch.Keep(registry(plainB))
-		watch.ConnectionLost(d, quarantine.About{Customer: "c", Path: "/"}, plainB)
-		watch.Keep(registry(plainB, leaves))
+		watch.ConnectionLost(d, quarantine.RequestInfo{Customer: "c", Path: "/"}, leaves)
+		watch.UpdateRegistry(registry(plainB))
+		watch.ConnectionLost(d, quarantine.RequestInfo{Customer: "c", Path: "/"}, plainB)
+		watch.UpdateRegistry(registry(plainB, leaves))
 		w.pass(probeDelay)
 		Expect(w.probed).To(BeEmpty())
 		Expect(told()).To(BeEmpty())
 	})
 
 	It("beside an agent is known sooner, without a probe", func() {
-		watch.ConnectionLost(d, quarantine.About{Customer: "c", Path: "/"}, rank)
+		watch.ConnectionLost(d, quarantine.RequestInfo{Customer: "c", Path: "/"}, rank)
 		w.now = w.now.Add(reportLag)
 		watch.SetEngineReachable("r", false)
 		Expect(held()).To(Equal(quarantine.Suspect))
@@ -171,17 +171,17 @@
 	})
 
 	It("beside an agent lives when its engine answers after that, but not when it's back", func() {
-		watch.ConnectionLost(d, quarantine.About{Customer: "c", Path: "/"}, rank)
+		watch.ConnectionLost(d, quarantine.RequestInfo{Customer: "c", Path: "/"}, rank)
 		watch.SetEngineReachable("r", true)
 		Expect(held()).To(Equal(quarantine.Suspect), "the report may be from before")
 		w.now = w.now.Add(reportLag)
 		watch.SetEngineReachable("r", true)
-		Expect(held()).To(Equal(quarantine.Sound))
-		watch.ConnectionLost(d, quarantine.About{Customer: "c", Path: "/"}, rank)
+		Expect(held()).To(Equal(quarantine.Healthy))
+		watch.ConnectionLost(d, quarantine.RequestInfo{Customer: "c", Path: "/"}, rank)
 		w.now = w.now.Add(soonestRestart)
 		watch.SetEngineReachable("r", true)
 		Expect(held()).To(Equal(quarantine.Suspect))
-		w.probes[rank.Address] = Ended
+		w.probes[rank.Address] = Exited
 		w.pass(0)
 		Expect(told()).To(HaveLen(1))
 	})
@@ -189,17 +189,17 @@
 	It("and another one make the request known everywhere, however others hear of it", func() {
 		_, asked := newWorld()
 		_, sent := newWorld()
-		watch.ConnectionLost(d, quarantine.About{Customer: "c", Path: "/"}, plainA)
+		watch.ConnectionLost(d, quarantine.RequestInfo{Customer: "c", Path: "/"}, plainA)
 		watch.MarkExited("a", "spec")
 		asked.Told("here", watch.Tell(asked.Known("here")))
-		Expect(asked.Table().Verdict(d, w.now).State).To(Equal(quarantine.Suspect))
-		watch.ConnectionLost(d, quarantine.About{Customer: "c", Path: "/"}, plainB)
+		Expect(asked.Table().Decision(d, w.now).State).To(Equal(quarantine.Suspect))
+		watch.ConnectionLost(d, quarantine.RequestInfo{Customer: "c", Path: "/"}, plainB)
 		watch.MarkExited("b", "spec")
 		news := watch.Tell(asked.Known("here"))
 		Expect(news.GetEvidence()).To(HaveLen(1), "only what has changed")
 		asked.Told("here", news)
-		sent.Hear(Decode(Encode(told(), w.now), w.now), "spec")
-		for _, other := range []*Watch{asked, sent} {
+		sent.MergeEvidence(Decode(Encode(told(), w.now), w.now), "spec")
+		for _, other := range []*Detector{asked, sent} {
 			other.now = func() time.Time { return w.now.Add(time.Second) }
 			Expect(other.Admit(d).State).To(Equal(quarantine.Quarantined))
 		}
@@ -213,11 +213,11 @@
 		w, here := newWorld()
 		_, there := newWorld()
 		mux := http.NewServeMux()
-		calls := peerrpc.NewCrashesServer(Server{Watch: there})
+		calls := peerrpc.NewCrashesServer(RPCServer{Detector: there})
 		mux.Handle(calls.PathPrefix(), calls)
 		server := httptest.NewServer(mux)
 		DeferCleanup(server.Close)
-		there.ConnectionLost(d, quarantine.About{Customer: "c", Path: "/"}, plainB)
+		there.ConnectionLost(d, quarantine.RequestInfo{Customer: "c", Path: "/"}, plainB)
 		there.MarkExited("b", "spec") // of which it tells nobody
 		ctx, stop := context.WithCancel(context.Background())
 		done := make(chan struct{})
@@ -225,11 +225,11 @@
 			defer close(done)
 			here.Gossip(ctx, []string{strings.TrimPrefix(server.URL, "http://")}, http.DefaultClient)
 		}()
-		here.ConnectionLost(d, quarantine.About{Customer: "c", Path: "/"}, plainA)
+		here.ConnectionLost(d, quarantine.RequestInfo{Customer: "c", Path: "/"}, plainA)
 		here.MarkExited("a", "spec")
 		both := []string{"a", "b"}
-		for _, watch := range []*Watch{here, there} {
-			Eventually(func() []string { return watch.Table().Verdict(d, w.now).Servers }, "10s").Should(Equal(both))
+		for _, watch := range []*Detector{here, there} {
+			Eventually(func() []string { return watch.Table().Decision(d, w.now).Servers }, "10s").Should(Equal(both))
 		}
 		stop()
 		<-done
@@ -266,7 +266,7 @@
 		w, watch := newWorld()
 		rep, late := replica.New(func() time.Time { return w.now }), replica.New(func() time.Time { return w.now })
 		log := &fakeLog{replicas: []*replica.Replica{rep, late}, down: true}
-		keeper := NewKeeper(watch, rep, log, "entry", func() time.Time { return w.now })
+		keeper := NewStore(watch, rep, log, "entry", func() time.Time { return w.now })
 		look := func() {
 			for range 3 { // notices, adds, applies
 				keeper.look(context.Background())
@@ -274,7 +274,7 @@
 			}
 		}
 		for _, server := range []string{"a", "b"} {
-			watch.ConnectionLost(d, quarantine.About{Customer: "c", Path: "/"}, registry().Server(server))
+			watch.ConnectionLost(d, quarantine.RequestInfo{Customer: "c", Path: "/"}, registry().Server(server))
 			watch.MarkExited(server, "spec")
 		}
 		look()
@@ -289,7 +289,7 @@
 		Expect(object.Quarantine.SinceMs).To(Equal(time.Unix(1000, 0).UnixMilli()))
 
 		_, started := newWorld()
-		NewKeeper(started, late, log, "late", func() time.Time { return w.now }).look(context.Background())
+		NewStore(started, late, log, "late", func() time.Time { return w.now }).look(context.Background())
 		Expect(started.Admit(d).State).To(Equal(quarantine.Quarantined))
 
 		data, err := config.NewChange(&config.Bundle{CommandID: "release", Actor: "ops", Changes: []config.Change{
@@ -299,7 +299,7 @@
 		_, err = log.Append(context.Background(), data)
 		Expect(err).NotTo(HaveOccurred())
 		look()
-		Expect(watch.Admit(d).State).To(Equal(quarantine.Sound))
+		Expect(watch.Admit(d).State).To(Equal(quarantine.Healthy))
 		Expect(log.records).To(HaveLen(2), "it isn't added again")
 	})
 
@@ -308,10 +308,10 @@
 		rep := replica.New(func() time.Time { return w.now })
 		log := &fakeLog{replicas: []*replica.Replica{rep}}
 		wall := func() time.Time { return w.now }
-		keeper := NewKeeper(watch, rep, log, "entry", wall)
+		keeper := NewStore(watch, rep, log, "entry", wall)
 		_, other := newWorld()
 		other.now = watch.now
-		others := NewKeeper(other, rep, log, "other", wall)
+		others := NewStore(other, rep, log, "other", wall)
 		look := func() {
 			for range 3 {
 				keeper.look(context.Background())
@@ -320,7 +320,7 @@
 			}
 		}
 		for _, server := range []string{"a", "b"} {
-			watch.ConnectionLost(d, quarantine.About{}, registry().Server(server))
+			watch.ConnectionLost(d, quarantine.RequestInfo{}, registry().Server(server))
 			watch.MarkExited(server, "spec")
 		}
 		w.now = w.now.Add(quarantine.SettleTime)
@@ -329,26 +329,26 @@
 		innocent := quarantine.DigestOf("c", "POST", "h", "/beside", nil)
 		var shared []quarantine.Evidence
 		for _, server := range []string{"a", "b"} {
-			shared = append(shared, quarantine.Evidence{Digest: innocent, Server: server, At: w.now})
+			shared = append(shared, quarantine.Evidence{Digest: innocent, Server: server, ExitedAt: w.now})
 		}
-		watch.Hear(shared, "a daemon that was cut off")
+		watch.MergeEvidence(shared, "a daemon that was cut off")
 		w.now = w.now.Add(quarantine.SettleTime)
 		look()
-		Expect(other.Admit(d).State).To(Equal(quarantine.Sound), "it has heard of no ends")
+		Expect(other.Admit(d).State).To(Equal(quarantine.Healthy), "it has heard of no ends")
 		Expect(watch.Admit(d).State).To(Equal(quarantine.Suspect))
 		w.now = w.now.Add(2 * untilSlack)
 		look()
 		Expect(rep.View().List(config.KindQuarantine)).To(BeEmpty())
-		Expect(watch.Table().Verdict(d, w.now).Servers).To(HaveLen(2))
+		Expect(watch.Table().Decision(d, w.now).Servers).To(HaveLen(2))
 	})
 
 	It("leaves the configuration when it's over", func() {
 		w, watch := newWorld()
 		rep := replica.New(func() time.Time { return w.now })
 		log := &fakeLog{replicas: []*replica.Replica{rep}}
-		keeper := NewKeeper(watch, rep, log, "entry", func() time.Time { return w.now })
+		keeper := NewStore(watch, rep, log, "entry", func() time.Time { return w.now })
 		for _, server := range []string{"a", "b"} {
-			watch.ConnectionLost(d, quarantine.About{Customer: "c", Path: "/"}, registry().Server(server))
+			watch.ConnectionLost(d, quarantine.RequestInfo{Customer: "c", Path: "/"}, registry().Server(server))
 			watch.MarkExited(server, "spec")
 		}
 		for range 3 {
--- a/internal/crash/gossip.go
+++ b/internal/crash/gossip.go
@@ -18,17 +18,17 @@
 )
 
 // Server answers other entries. It implements peerrpc.Crashes.
-type Server struct{ Watch *Watch }
+type RPCServer struct{ Detector *Detector }
 
 // Tell implements peerrpc.Crashes.
-func (s Server) Tell(_ context.Context, t *peerrpc.CrashTelling) (*peerrpc.CrashNews, error) {
-	s.Watch.Hear(Decode(t.GetEvidence(), s.Watch.now()), "another entry")
-	return s.Watch.Tell(t.GetKnown()), nil
+func (s RPCServer) Tell(_ context.Context, t *peerrpc.CrashTelling) (*peerrpc.CrashNews, error) {
+	s.Detector.MergeEvidence(Decode(t.GetEvidence(), s.Detector.now()), "another entry")
+	return s.Detector.Tell(t.GetKnown()), nil
 }
 
 // Gossip tells the entries at some control addresses what this one finds out, at once, and
 // asks one of them from time to time what it has missed, until the context ends.
-func (w *Watch) Gossip(ctx context.Context, peers []string, client *http.Client) {
+func (w *Detector) Gossip(ctx context.Context, peers []string, client *http.Client) {
 	ticker := time.NewTicker(gossipPace)
 	defer ticker.Stop()
 	for {
@@ -47,7 +47,7 @@
 	}
 }
 
-func (w *Watch) exchange(ctx context.Context, peer string, evidence []quarantine.Evidence, client *http.Client) {
+func (w *Detector) exchange(ctx context.Context, peer string, evidence []quarantine.Evidence, client *http.Client) {
 	ctx, cancel := context.WithTimeout(ctx, gossipTimeout)
 	defer cancel()
 	news, err := peerrpc.NewCrashesProtobufClient("http://"+peer, client).Tell(ctx, &peerrpc.CrashTelling{
--- a/internal/crash/store.go
+++ b/internal/crash/store.go
@@ -30,8 +30,8 @@
 
 // Keeper keeps quarantines in the product's configuration, where they outlast all daemons
 // and operators see them and end them.
-type Keeper struct {
-	watch   *Watch
+type Store struct {
+	watch   *Detector
 	replica *replica.Replica
 	store   replica.Log
 	daemon  string
@@ -46,12 +46,12 @@
 }
 
 // NewKeeper returns the keeper of a daemon.
-func NewKeeper(w *Watch, rep *replica.Replica, store replica.Log, daemon string, wall func() time.Time) *Keeper {
-	return &Keeper{watch: w, replica: rep, store: store, daemon: daemon, log: w.log, wall: wall, inForce: map[quarantine.Digest]*config.Quarantine{}}
+func NewStore(w *Detector, rep *replica.Replica, store replica.Log, daemon string, wall func() time.Time) *Store {
+	return &Store{watch: w, replica: rep, store: store, daemon: daemon, log: w.log, wall: wall, inForce: map[quarantine.Digest]*config.Quarantine{}}
 }
 
 // Run keeps them until the context ends.
-func (k *Keeper) Run(ctx context.Context) {
+func (k *Store) Run(ctx context.Context) {
 	tick := time.NewTicker(keepPace)
 	defer tick.Stop()
 	for {
@@ -68,7 +68,7 @@
 }
 
 // look applies what the configuration says, and adds to it what it lacks.
-func (k *Keeper) look(ctx context.Context) {
+func (k *Store) look(ctx context.Context) {
 	view := k.replica.View()
 	k.apply(view)
 	now := k.watch.now()
@@ -92,7 +92,7 @@
 
 // apply quarantines what the configuration says, and releases what it no longer does: one
 // that is gone before its time was taken away by an operator. Daemons end one first.
-func (k *Keeper) apply(view *config.View) {
+func (k *Store) apply(view *config.View) {
 	listed := map[quarantine.Digest]*config.Quarantine{}
 	for _, object := range view.List(config.KindQuarantine) {
 		d, err := quarantine.ParseDigest(object.Name)
@@ -105,7 +105,7 @@
 			k.log.WithFields(logrus.Fields{"digest": d, "servers": object.Quarantine.Servers, "offset": object.Revision - 1}).
 				Info("quarantine in force")
 		}
-		k.watch.table.Order(d, k.watch.now().Add(object.Quarantine.Until().Sub(k.wall())))
+		k.watch.table.QuarantineUntil(d, k.watch.now().Add(object.Quarantine.Until().Sub(k.wall())))
 	}
 	for d, former := range k.inForce {
 		switch {
@@ -114,28 +114,28 @@
 			k.log.WithFields(logrus.Fields{"digest": d, "offset": view.Configured}).Info("request released from quarantine")
 			k.watch.release(d)
 		default:
-			k.watch.table.Order(d, time.Time{})
+			k.watch.table.QuarantineUntil(d, time.Time{})
 		}
 	}
 	k.inForce = listed
 }
 
 // announce writes a line for each request that is quarantined now and wasn't.
-func (k *Keeper) announce(quarantined map[quarantine.Digest]quarantine.Verdict, now time.Time) {
+func (k *Store) announce(quarantined map[quarantine.Digest]quarantine.Decision, now time.Time) {
 	for d, v := range quarantined {
-		if !k.watch.table.Announce(d, v) {
+		if !k.watch.table.MarkAnnounced(d, v) {
 			continue
 		}
 		metrics.GetOrCreateCounter(`crowbridge_requests_quarantined_total`).Inc()
 		k.log.WithFields(logrus.Fields{
-			"digest": d, "customer": v.About.Customer, "path": v.About.Path, "servers": v.Servers, "found_here": v.FoundHere, "for_s": int(v.Until.Sub(now).Seconds()),
+			"digest": d, "customer": v.Info.Customer, "path": v.Info.Path, "servers": v.Servers, "found_here": v.LocalExits, "for_s": int(v.Until.Sub(now).Seconds()),
 		}).Warn("request quarantined: servers end while they run it")
 	}
 }
 
 // missing are the changes after which the configuration has the quarantines that it
 // should. foundHere tells whether this daemon saw any of the ends that it lacks.
-func (k *Keeper) missing(view *config.View, quarantined map[quarantine.Digest]quarantine.Verdict, now time.Time) (changes []config.Change, foundHere bool) {
+func (k *Store) missing(view *config.View, quarantined map[quarantine.Digest]quarantine.Decision, now time.Time) (changes []config.Change, foundHere bool) {
 	for d, v := range quarantined {
 		object := view.Get(config.KindQuarantine, d.String())
 		until := k.wall().Add(v.Until.Sub(now))
@@ -145,7 +145,7 @@
 		change := config.Change{Kind: config.KindQuarantine, Name: d.String(), Object: &config.Object{
 			Kind: config.KindQuarantine, Name: d.String(),
 			Quarantine: &config.Quarantine{
-				Customer: v.About.Customer, Path: v.About.Path, Servers: v.Servers,
+				Customer: v.Info.Customer, Path: v.Info.Path, Servers: v.Servers,
 				SinceMs: k.wall().Add(v.Since.Sub(now)).UnixMilli(), UntilMs: until.UnixMilli(),
 			},
 		}}
@@ -153,14 +153,14 @@
 			change.ExpectedRevision = object.Revision
 		}
 		changes = append(changes, change)
-		foundHere = foundHere || v.FoundHere > 0
+		foundHere = foundHere || v.LocalExits > 0
 	}
 	for d := range k.inForce {
 		object := view.Get(config.KindQuarantine, d.String())
 		change := config.Change{Kind: config.KindQuarantine, Name: d.String(), ExpectedRevision: object.Revision}
 		switch until := object.Quarantine.Until(); {
 		case k.wall().After(until.Add(untilSlack)):
-		case k.wall().Before(until) && k.watch.table.Acquitted(d, object.Quarantine.Servers, now):
+		case k.wall().Before(until) && k.watch.table.Cleared(d, object.Quarantine.Servers, now):
 			change.Object = ended(object, k.wall())
 		default:
 			continue
@@ -178,7 +178,7 @@
 }
 
 // add puts changes onto the log, each by itself: another daemon may have made some of them.
-func (k *Keeper) add(ctx context.Context, changes []config.Change) {
+func (k *Store) add(ctx context.Context, changes []config.Change) {
 	ctx, cancel := context.WithTimeout(ctx, keepTimeout)
 	defer cancel()
 	for _, change := range changes {
--- a/internal/dispatch/attempt.go
+++ b/internal/dispatch/attempt.go
@@ -91,9 +91,9 @@
 
 // unanswered explains an attempt without any answer.
 func (p *Pipeline) unanswered(ctx context.Context, x *exchange, server *fleet.Server, e *SendError) *failure.Error {
-	var barred *eligibility.BarredError
+	var barred *eligibility.ExcludedError
 	if errors.As(e, &barred) {
-		return p.barred(x, server, barred.Bar)
+		return p.barred(x, server, barred.Exclusion)
 	}
 	step, code, outcome := failure.StepSend, failure.CodeServerLost, failure.OutcomeNotRun
 	detail := e.Error()
--- a/internal/dispatch/balancer.go
+++ b/internal/dispatch/balancer.go
@@ -52,7 +52,7 @@
 	avoidUntil time.Time
 	took       float64 // smoothed time of own plain answers, in seconds
 	// notice is what the server has said of itself.
-	notice eligibility.Notice
+	notice eligibility.Report
 	// connections is one more than this entry's part of the connectionsOf connections that the
 	// server takes; 0 when that hasn't been worked out.
 	connections, connectionsOf int
@@ -107,7 +107,7 @@
 	daemons := quota.NewDaemons(self, others)
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.daemons.Same(daemons) {
+	if b.daemons.Equal(daemons) {
 		return
 	}
 	b.daemons = daemons
@@ -126,7 +126,7 @@
 		return 0, false
 	}
 	if r.connections == 0 || r.connectionsOf != bound {
-		r.connections, r.connectionsOf = b.daemons.Whole(bound, key)+1, bound
+		r.connections, r.connectionsOf = b.daemons.Quota(bound, key)+1, bound
 	}
 	return r.connections - 1, true
 }
@@ -180,9 +180,9 @@
 	}
 	maps.DeleteFunc(b.groups, func(group string, _ *groupState) bool { return !registered[group] })
 	maps.DeleteFunc(b.eventAt, func(group string, _ time.Time) bool { return !registered[group] })
-	b.limits.Keep(func(key string) bool { return servers.Started(key) != nil }, now)
+	b.limits.Prune(func(key string) bool { return servers.Started(key) != nil }, now)
 	for key, r := range b.rows {
-		if servers.Started(key) == nil && r.inFlight == 0 && now.Sub(r.notice.SaidAt()) > keepNotice {
+		if servers.Started(key) == nil && r.inFlight == 0 && now.Sub(r.notice.ReportedAt()) > keepNotice {
 			delete(b.rows, key)
 		}
 	}
@@ -197,16 +197,16 @@
 	// BackingOff is set while the server is passed over because it failed.
 	BackingOff bool
 	// Exclusion is why it gets no requests by its own word, or nil.
-	Exclusion *eligibility.Bar
+	Exclusion *eligibility.Exclusion
 	// Limit is what it takes a second from all VMs together, or nil.
-	Limit *ratelimit.Limit
+	Limit *ratelimit.Status
 }
 
 // ServerStatus returns what is known of a server.
 func (b *Balancer) ServerStatus(id string, now time.Time) ServerStatus {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	limit := b.limits.Limit(id, now)
+	limit := b.limits.Status(id, now)
 	r := b.rows[id]
 	if r == nil {
 		return ServerStatus{Limit: limit}
@@ -214,7 +214,7 @@
 	return ServerStatus{
 		Limit:    limit,
 		InFlight: r.inFlight, Running: r.reported.Running, Waiting: r.reported.Waiting,
-		ReportedAt: r.reportedAt, BackingOff: now.Before(r.avoidUntil), Exclusion: r.notice.Bar(now),
+		ReportedAt: r.reportedAt, BackingOff: now.Before(r.avoidUntil), Exclusion: r.notice.Exclusion(now),
 	}
 }
 
--- a/internal/dispatch/budget.go
+++ b/internal/dispatch/budget.go
@@ -31,7 +31,7 @@
 
 // extra is this entry's share of Extra.
 func (p RetryBudgetPolicy) extra() float64 {
-	return min(p.Extra/extraShares, quota.Equal(p.Extra, p.Entries))
+	return min(p.Extra/extraShares, quota.PerDaemon(p.Extra, p.Entries))
 }
 
 // retryBudget counts one service's requests and repeats at this entry. It needs
--- a/internal/dispatch/choose.go
+++ b/internal/dispatch/choose.go
@@ -54,14 +54,14 @@
 			continue
 		}
 		r := b.row(server.Key())
-		if r.notice.Bar(now) != nil {
+		if r.notice.Exclusion(now) != nil {
 			barred++
 			continue
 		}
 		if contains(tried, server.Key()) {
 			continue
 		}
-		if b.limits.Left(server.Key(), request.want(), now) > 0 {
+		if b.limits.Wait(server.Key(), request.want(), now) > 0 {
 			limited++
 			continue
 		}
--- a/internal/dispatch/exclusion.go
+++ b/internal/dispatch/exclusion.go
@@ -42,17 +42,17 @@
 func (p *Pipeline) permit(x *exchange, server *fleet.Server) error {
 	now := p.now()
 	if bar := p.chooser.Exclusion(server.Key(), now); bar != nil {
-		return &eligibility.BarredError{Bar: bar}
+		return &eligibility.ExcludedError{Exclusion: bar}
 	}
 	if left := p.chooser.AcquireToken(server.Key(), x.request, now); left > 0 {
-		return &eligibility.BarredError{Bar: &eligibility.Bar{Reason: eligibility.Limited, Left: left}}
+		return &eligibility.ExcludedError{Exclusion: &eligibility.Exclusion{Reason: eligibility.Limited, Remaining: left}}
 	}
 	return nil
 }
 
 // barred explains an attempt that ended before anything was sent, because its server had
 // spoken since it was chosen. What was taken from the retry budget for it is used by the next.
-func (p *Pipeline) barred(x *exchange, server *fleet.Server, bar *eligibility.Bar) *failure.Error {
+func (p *Pipeline) barred(x *exchange, server *fleet.Server, bar *eligibility.Exclusion) *failure.Error {
 	x.paid = x.sent > 0
 	return failure.NotRun(failure.StepSend, server.ID, bar.Code(), bar.String()).After(p.comeBack(x))
 }
@@ -133,17 +133,17 @@
 	defer b.mu.Unlock()
 	notice := &b.row(server).notice
 	if info.Leaving {
-		leaves = notice.Leave(now)
+		leaves = notice.MarkLeaving(now)
 	}
-	return notice.AskForRest(info.RetryAfter, now), leaves
+	return notice.RecordRest(info.RetryAfter, now), leaves
 }
 
 // Exclusion implements Chooser.
-func (b *Balancer) Exclusion(server string, now time.Time) *eligibility.Bar {
+func (b *Balancer) Exclusion(server string, now time.Time) *eligibility.Exclusion {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if r := b.rows[server]; r != nil {
-		return r.notice.Bar(now)
+		return r.notice.Exclusion(now)
 	}
 	return nil
 }
@@ -152,22 +152,22 @@
 func (b *Balancer) EarliestEligible(now time.Time, servers []*fleet.Server, r *Request) time.Duration {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	var bars eligibility.Bars
+	var bars eligibility.Exclusions
 	for _, server := range servers {
 		if !server.Leaving {
 			bars.Add(b.barOrLimit(server, r, now))
 		}
 	}
-	return bars.FirstLeft()
+	return bars.EarliestEnd()
 }
 
 // barOrLimit is why a request may not go to a server now, or nil. The lock is held.
-func (b *Balancer) barOrLimit(server *fleet.Server, r *Request, now time.Time) *eligibility.Bar {
-	if bar := b.row(server.Key()).notice.Bar(now); bar != nil {
+func (b *Balancer) barOrLimit(server *fleet.Server, r *Request, now time.Time) *eligibility.Exclusion {
+	if bar := b.row(server.Key()).notice.Exclusion(now); bar != nil {
 		return bar
 	}
-	if left := b.limits.Left(server.Key(), r.want(), now); left > 0 {
-		return &eligibility.Bar{Reason: eligibility.Limited, Left: left}
+	if left := b.limits.Wait(server.Key(), r.want(), now); left > 0 {
+		return &eligibility.Exclusion{Reason: eligibility.Limited, Remaining: left}
 	}
 	return nil
 }
--- a/internal/dispatch/limits.go
+++ b/internal/dispatch/limits.go
@@ -12,8 +12,8 @@
 )
 
 // want is what decides about a request when little of a limit is left.
-func (r *Request) want() ratelimit.Want {
-	return ratelimit.Want{Customer: r.Customer, Behind: r.behind, Repeated: r.repeated}
+func (r *Request) want() ratelimit.Request {
+	return ratelimit.Request{Customer: r.Customer, PriorityGap: r.behind, Retry: r.repeated}
 }
 
 // hearLimit takes in what a server says of the requests that it takes a second from all VMs
@@ -21,7 +21,7 @@
 // what the server has room for: what this one hears and sends is told to the others.
 func (p *Pipeline) hearLimit(x *exchange, server *fleet.Server, answer *Response) {
 	word := answer.Info.Limit
-	x.limit = p.board.limits.Limit(server.Key(), p.now())
+	x.limit = p.board.limits.Status(server.Key(), p.now())
 	about := logrus.Fields{"server": server.ID, "start": server.Key(), "request": x.request.ID}
 	if word.Invalid != "" {
 		p.log.WithFields(about).WithField("said", word.Invalid).Warn("server names a limit that can't be read: what it said before holds")
@@ -29,15 +29,15 @@
 	if !word.Present && !saysNoLimit(x, answer) {
 		return
 	}
-	before, changed := p.board.limits.Heard(server.Key(), ratelimit.Word{
-		Named: word.Present, PerSecond: word.PerSecond, Asked: x.askedAt, Heard: p.now(),
+	before, changed := p.board.limits.UpdateLimit(server.Key(), ratelimit.Limit{
+		Present: word.Present, PerSecond: word.PerSecond, RequestedAt: x.askedAt, ReceivedAt: p.now(),
 	})
 	if !changed {
 		return
 	}
 	countWord(x.Service, "limited")
 	p.log.WithFields(about).WithFields(logrus.Fields{
-		"limit": word.PerSecond, "named": word.Present, "before": before.PerSecond, "before_named": before.Named,
+		"limit": word.PerSecond, "named": word.Present, "before": before.PerSecond, "before_named": before.Present,
 	}).Info("server names another limit")
 }
 
@@ -51,7 +51,7 @@
 
 // AcquireToken implements Chooser.
 func (b *Balancer) AcquireToken(server string, r *Request, now time.Time) time.Duration {
-	return b.limits.Take(server, r.want(), now)
+	return b.limits.Acquire(server, r.want(), now)
 }
 
 // refuseLimited notes that a caller is refused, if limits are what stands in its way first, and
@@ -66,7 +66,7 @@
 			keys = append(keys, server.Key())
 		}
 	}
-	return b.limits.Refuse(keys, r.want(), now)
+	return b.limits.RecordRefusal(keys, r.want(), now)
 }
 
 // countLimitRefusal enters a request that the limits of all its servers left no room for.
--- a/internal/dispatch/limits_test.go
+++ b/internal/dispatch/limits_test.go
@@ -117,12 +117,12 @@
 				continue
 			}
 			for _, news := range from.news {
-				to.board.Limits().Hear(fmt.Sprint("entry-", i), news, now)
+				to.board.Limits().Receive(fmt.Sprint("entry-", i), news, now)
 			}
 		}
-		from.news = from.board.Limits().News(now)
-		if now.Sub(from.told) >= from.board.Limits().Refresh() {
-			from.told, from.news = now, from.board.Limits().State(now)
+		from.news = from.board.Limits().Updates(now)
+		if now.Sub(from.told) >= from.board.Limits().RefreshInterval() {
+			from.told, from.news = now, from.board.Limits().RefreshMessages(now)
 		}
 	}
 }
--- a/internal/dispatch/pipeline.go
+++ b/internal/dispatch/pipeline.go
@@ -92,7 +92,7 @@
 	// askedAt is when the last attempt began, limit the limit of its server as it got the
 	// request, or nil.
 	askedAt time.Time
-	limit   *ratelimit.Limit
+	limit   *ratelimit.Status
 }
 
 // Serve takes one request to its end. The context ends when the caller leaves.
--- a/internal/dispatch/quarantine.go
+++ b/internal/dispatch/quarantine.go
@@ -20,11 +20,11 @@
 	Empty() bool
 	// Admit asks whether a request may go to a server now. A sound or suspect one counts
 	// as in progress until Leave.
-	Admit(d quarantine.Digest) quarantine.Verdict
+	Admit(d quarantine.Digest) quarantine.Decision
 	Release(d quarantine.Digest)
 	// ConnectionLost notes that an attempt's connection to a server ended under it, Ended that
 	// the server has ended, and Served that the request has run to a good end.
-	ConnectionLost(d quarantine.Digest, about quarantine.About, server *fleet.Server)
+	ConnectionLost(d quarantine.Digest, about quarantine.RequestInfo, server *fleet.Server)
 	MarkExited(server, cause string)
 	MarkServed(d quarantine.Digest)
 }
@@ -56,14 +56,14 @@
 	for {
 		v := p.quarantine.Admit(x.request.digest())
 		switch v.State {
-		case quarantine.Sound, quarantine.Suspect:
+		case quarantine.Healthy, quarantine.Suspect:
 			x.entered, x.request.Suspect = true, v.State == quarantine.Suspect
 			return nil
 		case quarantine.Quarantined:
 			return heldBack(x, failure.StepQueue, x.Service, failure.CodeQuarantined,
 				fmt.Sprintf("%d servers ended while they ran this request (%s): it gets no other for %s",
 					len(v.Servers), strings.Join(v.Servers, ", "), v.Until.Sub(p.now()).Round(time.Second))).After(v.Until.Sub(p.now()))
-		case quarantine.Undecided:
+		case quarantine.Pending:
 		}
 		if !p.now().Before(until) || !wait.For(ctx, undecidedPoll) {
 			return heldBack(x, failure.StepQueue, x.Service, failure.CodeSuspect,
@@ -103,7 +103,7 @@
 	x.cutOff = true
 	countCutOff(x)
 	if p.quarantine != nil {
-		p.quarantine.ConnectionLost(x.request.digest(), quarantine.AboutRequest(x.request.Customer, x.request.URI), server)
+		p.quarantine.ConnectionLost(x.request.digest(), quarantine.NewRequestInfo(x.request.Customer, x.request.URI), server)
 	}
 }
 
--- a/internal/dispatch/quarantine_test.go
+++ b/internal/dispatch/quarantine_test.go
@@ -16,7 +16,7 @@
 
 // fakeQuarantine remembers what it was told and says of each request the same.
 type fakeQuarantine struct {
-	verdicts      []quarantine.Verdict // one an Enter, the last one stays
+	verdicts      []quarantine.Decision // one an Enter, the last one stays
 	cut, ended    []string
 	served        int
 	entered, left int
@@ -25,16 +25,16 @@
 
 func (q *fakeQuarantine) Empty() bool { return q.empty }
 
-func (q *fakeQuarantine) Admit(quarantine.Digest) quarantine.Verdict {
+func (q *fakeQuarantine) Admit(quarantine.Digest) quarantine.Decision {
 	if len(q.verdicts) == 0 {
 		q.entered++
-		return quarantine.Verdict{}
+		return quarantine.Decision{}
 	}
 	v := q.verdicts[0]
 	if len(q.verdicts) > 1 {
 		q.verdicts = q.verdicts[1:]
 	}
-	if v.State == quarantine.Sound || v.State == quarantine.Suspect {
+	if v.State == quarantine.Healthy || v.State == quarantine.Suspect {
 		q.entered++
 	}
 	return v
@@ -42,7 +42,7 @@
 
 func (q *fakeQuarantine) Release(quarantine.Digest) { q.left++ }
 
-func (q *fakeQuarantine) ConnectionLost(_ quarantine.Digest, _ quarantine.About, server *fleet.Server) {
+func (q *fakeQuarantine) ConnectionLost(_ quarantine.Digest, _ quarantine.RequestInfo, server *fleet.Server) {
 	q.cut = append(q.cut, server.ID)
 }
 
@@ -64,7 +64,7 @@
 
 	It("keeps a request from all servers, truthfully, and says until when", func() {
 		b, q := with()
-		q.verdicts = []quarantine.Verdict{{
+		q.verdicts = []quarantine.Decision{{
 			State: quarantine.Quarantined, Servers: []string{"i-1", "i-2"}, Until: b.now.Add(30 * time.Minute),
 		}}
 		f := b.serve("again").Failure
@@ -77,7 +77,7 @@
 
 	It("is asked before each attempt: the first may have ended a server too many", func() {
 		b, q := with(lost(true))
-		q.verdicts = []quarantine.Verdict{{}, {State: quarantine.Quarantined, Until: b.now.Add(time.Minute)}}
+		q.verdicts = []quarantine.Decision{{}, {State: quarantine.Quarantined, Until: b.now.Add(time.Minute)}}
 		f := b.serve("again").Failure
 		Expect(f.Code).To(Equal(failure.CodeQuarantined))
 		Expect(f.Outcome).To(Equal(failure.OutcomeUnknown), "it has run")
@@ -87,12 +87,12 @@
 
 	It("makes a request wait for what is undecided, and refuses it soon", func() {
 		b, q := with(signed(http.StatusOK, "done"))
-		undecided := quarantine.Verdict{State: quarantine.Undecided}
-		q.verdicts = []quarantine.Verdict{undecided, undecided, {State: quarantine.Suspect}}
+		undecided := quarantine.Decision{State: quarantine.Pending}
+		q.verdicts = []quarantine.Decision{undecided, undecided, {State: quarantine.Suspect}}
 		Expect(b.serve("once").Failure).To(BeNil())
 		Expect(q.served).To(Equal(1))
 		b, q = with()
-		q.verdicts = []quarantine.Verdict{undecided}
+		q.verdicts = []quarantine.Decision{undecided}
 		asked := b.now
 		b.pipeline.now = func() time.Time {
 			asked = asked.Add(undecidedWait / 2) // each look at the clock
--- a/internal/dispatch/types.go
+++ b/internal/dispatch/types.go
@@ -197,7 +197,7 @@
 	// gets no requests now, and whether that it leaves is news.
 	ObserveResponse(server string, info ResponseInfo, now time.Time) (rest time.Duration, leaves bool)
 	// Exclusion returns why a server may get no requests now by its own word, or nil.
-	Exclusion(server string, now time.Time) *eligibility.Bar
+	Exclusion(server string, now time.Time) *eligibility.Exclusion
 	// AcquireToken is asked last before a request's bytes go to a server. It returns 0 when the
 	// server's limit allows the request, which counts then, or else for how long it doesn't.
 	AcquireToken(server string, r *Request, now time.Time) time.Duration
--- a/internal/eligibility/eligibility.go
+++ b/internal/eligibility/eligibility.go
@@ -32,14 +32,14 @@
 )
 
 // Bar says that a server may get no requests now.
-type Bar struct {
+type Exclusion struct {
 	Reason Reason
 	// Left is how long it holds still; 0 when only the server's next start ends it.
-	Left time.Duration
+	Remaining time.Duration
 }
 
 // Code is what callers of a request are told that was held back.
-func (b *Bar) Code() failure.Code {
+func (b *Exclusion) Code() failure.Code {
 	switch b.Reason {
 	case Leaving:
 		return failure.CodeLeaving
@@ -53,42 +53,42 @@
 }
 
 // String says it for people.
-func (b *Bar) String() string {
+func (b *Exclusion) String() string {
 	switch b.Reason {
 	case Leaving:
 		return "the server has said that it leaves"
 	case Limited:
-		return fmt.Sprintf("the server's limit allows no request for %s", b.Left.Round(time.Millisecond))
+		return fmt.Sprintf("the server's limit allows no request for %s", b.Remaining.Round(time.Millisecond))
 	case Full:
 		return "this daemon has its part of the server's connections"
 	case Resting:
 	}
-	return fmt.Sprintf("the server has asked for rest, %s of it left", b.Left.Round(time.Millisecond))
+	return fmt.Sprintf("the server has asked for rest, %s of it left", b.Remaining.Round(time.Millisecond))
 }
 
 // BarredError says that nothing was sent to a server because of its word.
-type BarredError struct{ Bar *Bar }
+type ExcludedError struct{ Exclusion *Exclusion }
 
 // Error implements error.
-func (e *BarredError) Error() string { return e.Bar.String() }
+func (e *ExcludedError) Error() string { return e.Exclusion.String() }
 
 // Notice is what one start of a server has said of itself. The zero value is that of one
 // that has said nothing. Not safe for concurrent use.
 //
 // Invariant: a bar in force ends at its time only. No answer of the server that isn't a
 // later word, no success and no shorter rest ends it sooner.
-type Notice struct {
+type Report struct {
 	restUntil time.Time
 	leaving   bool
 	// saidAt is when it said something last.
-	saidAt time.Time
+	reportedAt time.Time
 }
 
 // AskForRest takes in that the server wants no requests for a time from now on. It
 // returns for how long it gets none now.
-func (n *Notice) AskForRest(rest time.Duration, now time.Time) time.Duration {
+func (n *Report) RecordRest(rest time.Duration, now time.Time) time.Duration {
 	if rest > 0 {
-		n.saidAt = now
+		n.reportedAt = now
 		if until := now.Add(min(rest, MaxRest)); until.After(n.restUntil) {
 			n.restUntil = until
 		}
@@ -97,23 +97,23 @@
 }
 
 // Leave takes in that the server leaves. It returns whether that is news.
-func (n *Notice) Leave(now time.Time) bool {
+func (n *Report) MarkLeaving(now time.Time) bool {
 	news := !n.leaving
-	n.leaving, n.saidAt = true, now
+	n.leaving, n.reportedAt = true, now
 	return news
 }
 
 // Bar returns why the server may get no requests now, or nil.
-func (n *Notice) Bar(now time.Time) *Bar {
+func (n *Report) Exclusion(now time.Time) *Exclusion {
 	switch {
 	case n.leaving:
-		return &Bar{Reason: Leaving}
+		return &Exclusion{Reason: Leaving}
 	case now.Before(n.restUntil):
-		return &Bar{Reason: Resting, Left: n.restUntil.Sub(now)}
+		return &Exclusion{Reason: Resting, Remaining: n.restUntil.Sub(now)}
 	default:
 		return nil
 	}
 }
 
 // SaidAt is when the server said something last; zero when it never did.
-func (n *Notice) SaidAt() time.Time { return n.saidAt }
+func (n *Report) ReportedAt() time.Time { return n.reportedAt }
--- a/internal/eligibility/eligibility_test.go
+++ b/internal/eligibility/eligibility_test.go
@@ -20,7 +20,7 @@
 // any rest that it asked for lasts, and from its word that it leaves on for good.
 func TestAWordHoldsUntilItsTime(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var n Notice
+		var n Report
 		now := time.Unix(5000, 0)
 		var ends []time.Time
 		leaving := false
@@ -30,9 +30,9 @@
 			case 0, 1, 2, 3:
 				rest := time.Duration(rapid.IntRange(-1000, 9000).Draw(t, "rest ms")) * time.Millisecond
 				ends = append(ends, now.Add(rest))
-				n.AskForRest(rest, now)
+				n.RecordRest(rest, now)
 			case 4:
-				if news := n.Leave(now); news == leaving {
+				if news := n.MarkLeaving(now); news == leaving {
 					t.Fatalf("news: %v, leaving before: %v", news, leaving)
 				}
 				leaving = true
@@ -42,14 +42,14 @@
 			for _, end := range ends {
 				left = max(left, end.Sub(now))
 			}
-			bar := n.Bar(now)
+			bar := n.Exclusion(now)
 			switch {
 			case leaving:
-				if bar == nil || bar.Reason != Leaving || bar.Left != 0 {
+				if bar == nil || bar.Reason != Leaving || bar.Remaining != 0 {
 					t.Fatalf("leaving, but %v", bar)
 				}
 			case left > 0:
-				if bar == nil || bar.Reason != Resting || bar.Left != left {
+				if bar == nil || bar.Reason != Resting || bar.Remaining != left {
 					t.Fatalf("%v of rest left, but %v", left, bar)
 				}
 			case bar != nil:
@@ -61,32 +61,32 @@
 
 func TestARestIsBounded(t *testing.T) {
 	RegisterTestingT(t)
-	var n Notice
+	var n Report
 	now := time.Unix(5000, 0)
-	Expect(n.AskForRest(365*24*time.Hour, now)).To(Equal(MaxRest))
-	Expect(n.Bar(now.Add(MaxRest - 1))).NotTo(BeNil())
-	Expect(n.Bar(now.Add(MaxRest))).To(BeNil())
-	Expect(n.AskForRest(1<<63-1, now.Add(MaxRest))).To(Equal(MaxRest))
+	Expect(n.RecordRest(365*24*time.Hour, now)).To(Equal(MaxRest))
+	Expect(n.Exclusion(now.Add(MaxRest - 1))).NotTo(BeNil())
+	Expect(n.Exclusion(now.Add(MaxRest))).To(BeNil())
+	Expect(n.RecordRest(1<<63-1, now.Add(MaxRest))).To(Equal(MaxRest))
 }
 
 func TestTheFirstRestToEnd(t *testing.T) {
 	RegisterTestingT(t)
-	rest := func(s int) *Bar { return &Bar{Reason: Resting, Left: time.Duration(s) * time.Second} }
+	rest := func(s int) *Exclusion { return &Exclusion{Reason: Resting, Remaining: time.Duration(s) * time.Second} }
 	for _, c := range []struct {
 		name  string
-		bars  []*Bar
+		bars  []*Exclusion
 		first time.Duration
 	}{
 		{name: "of none"},
-		{"of several", []*Bar{rest(4), rest(2), rest(3)}, 2 * time.Second},
-		{"beside one that leaves", []*Bar{{Reason: Leaving}, rest(3)}, 3 * time.Second},
-		{"of servers that all leave", []*Bar{{Reason: Leaving}}, 0},
-		{"beside a free one", []*Bar{rest(4), nil}, 0},
+		{"of several", []*Exclusion{rest(4), rest(2), rest(3)}, 2 * time.Second},
+		{"beside one that leaves", []*Exclusion{{Reason: Leaving}, rest(3)}, 3 * time.Second},
+		{"of servers that all leave", []*Exclusion{{Reason: Leaving}}, 0},
+		{"beside a free one", []*Exclusion{rest(4), nil}, 0},
 	} {
-		var bars Bars
+		var bars Exclusions
 		for _, bar := range c.bars {
 			bars.Add(bar)
 		}
-		Expect(bars.FirstLeft()).To(Equal(c.first), c.name)
+		Expect(bars.EarliestEnd()).To(Equal(c.first), c.name)
 	}
 }
--- a/internal/entry/admin.go
+++ b/internal/entry/admin.go
@@ -19,7 +19,7 @@
 	var list []*rpc.ServerStatus
 	for name, row := range e.table.Rows() {
 		state := row.Health.String()
-		switch bar := row.Notice.Bar(now); {
+		switch bar := row.Notice.Exclusion(now); {
 		case row.Server.Spec.Draining:
 			state = "draining"
 		case bar != nil:
@@ -68,7 +68,7 @@
 	if row == nil {
 		return "not known here yet"
 	}
-	bar := row.Notice.Bar(e.now())
+	bar := row.Notice.Exclusion(e.now())
 	switch {
 	case e.picker.Eligible(e.now(), row):
 		return ""
--- a/internal/entry/chooser.go
+++ b/internal/entry/chooser.go
@@ -37,13 +37,13 @@
 func (c tableChooser) EarliestEligible(now time.Time, _ []*fleet.Server, r *dispatch.Request) time.Duration {
 	c.entry.mu.Lock()
 	defer c.entry.mu.Unlock()
-	var bars eligibility.Bars
+	var bars eligibility.Exclusions
 	for _, server := range exchangeOf(r).route.Servers {
 		if row := c.entry.table.Row(server.Name); row != nil {
-			bars.Add(row.Notice.Bar(now))
+			bars.Add(row.Notice.Exclusion(now))
 		}
 	}
-	return bars.FirstLeft()
+	return bars.EarliestEnd()
 }
 
 // ObserveResponse implements dispatch.Chooser.
@@ -54,15 +54,15 @@
 	if row == nil {
 		return 0, false
 	}
-	return row.Notice.AskForRest(info.RetryAfter, now), false // agents tell that they leave in their load
+	return row.Notice.RecordRest(info.RetryAfter, now), false // agents tell that they leave in their load
 }
 
 // Exclusion implements dispatch.Chooser.
-func (c tableChooser) Exclusion(server string, now time.Time) *eligibility.Bar {
+func (c tableChooser) Exclusion(server string, now time.Time) *eligibility.Exclusion {
 	c.entry.mu.Lock()
 	defer c.entry.mu.Unlock()
 	if row := c.entry.table.Row(server); row != nil {
-		return row.Notice.Bar(now)
+		return row.Notice.Exclusion(now)
 	}
 	return nil
 }
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -61,7 +61,7 @@
 
 	index    atomic.Pointer[compiled]
 	pipeline *dispatch.Pipeline
-	crashes  *crash.Watch
+	crashes  *crash.Detector
 
 	mu       sync.Mutex
 	table    *routing.Table
@@ -181,7 +181,7 @@
 }
 
 // CrashDetector is what the entry knows of requests that end servers.
-func (e *Entry) CrashDetector() *crash.Watch { return e.crashes }
+func (e *Entry) CrashDetector() *crash.Detector { return e.crashes }
 
 // Ledger returns how the requests accepted here ended.
 func (e *Entry) Ledger() outcome.Counts { return e.pipeline.OutcomeCounts() }
--- a/internal/entry/poll.go
+++ b/internal/entry/poll.go
@@ -102,7 +102,7 @@
 	}
 	switch reply.GetState() {
 	case rpc.EngineState_ENGINE_STATE_ENDED:
-		return crash.Ended
+		return crash.Exited
 	case rpc.EngineState_ENGINE_STATE_LISTENING:
 		return crash.Listening
 	case rpc.EngineState_ENGINE_STATE_UNKNOWN:
--- a/internal/experts/agent.go
+++ b/internal/experts/agent.go
@@ -39,7 +39,7 @@
 	// openedAt is when the group was seen to open last.
 	openedAt time.Time
 	// notice is what the engine has said of itself in answers to orders.
-	notice eligibility.Notice
+	notice eligibility.Report
 	// inherited is the fence of a lease that an earlier process of this daemon had.
 	inherited int64
 	// orders keeps orders one after the other, so that none with an old fence is on
@@ -178,7 +178,7 @@
 		a.openedAt = a.now()
 	}
 	if report.StartID != a.last.StartID {
-		a.notice = eligibility.Notice{} // this start has said nothing
+		a.notice = eligibility.Report{} // this start has said nothing
 	}
 	a.last = report
 	return report, nil
@@ -213,7 +213,7 @@
 	if errors.As(err, &rest) {
 		a.mu.Lock()
 		defer a.mu.Unlock()
-		a.notice.AskForRest(rest.Rest, a.now())
+		a.notice.RecordRest(rest.Rest, a.now())
 	}
 	return verdict, err
 }
@@ -239,8 +239,8 @@
 	}
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if bar := a.notice.Bar(a.now()); bar != nil {
-		return &eligibility.BarredError{Bar: bar}
+	if bar := a.notice.Exclusion(a.now()); bar != nil {
+		return &eligibility.ExcludedError{Exclusion: bar}
 	}
 	return nil
 }
--- a/internal/group/trail.go
+++ b/internal/group/trail.go
@@ -14,14 +14,14 @@
 const (
 	// trailQueue is how many events may wait for the store; what is over is in the
 	// process's own log only.
-	trailQueue = 64
+	auditQueueSize = 64
 	// trailTimeout bounds one append.
-	trailTimeout = 2 * time.Second
+	auditTimeout = 2 * time.Second
 )
 
 // Trail puts the leases that this daemon claims and the map changes that it
 // brings about onto the audit trail. It implements ranks.Trail.
-type Trail struct {
+type AuditTrail struct {
 	daemon string
 	log    replica.Log
 	logger *logrus.Entry
@@ -29,22 +29,22 @@
 }
 
 // NewTrail returns the trail of a daemon.
-func NewTrail(daemon string, log replica.Log, logger *logrus.Entry) *Trail {
-	return &Trail{daemon: daemon, log: log, logger: logger, events: make(chan *config.Event, trailQueue)}
+func NewAuditTrail(daemon string, log replica.Log, logger *logrus.Entry) *AuditTrail {
+	return &AuditTrail{daemon: daemon, log: log, logger: logger, events: make(chan *config.Event, auditQueueSize)}
 }
 
 // Claimed implements ranks.Trail.
-func (t *Trail) LeaseClaimed(group string, fence int64) {
-	t.note(config.AuditLease, group, fmt.Sprintf("fence %d", fence))
+func (t *AuditTrail) LeaseClaimed(group string, fence int64) {
+	t.enqueue(config.AuditLease, group, fmt.Sprintf("fence %d", fence))
 }
 
 // Changed implements ranks.Trail.
-func (t *Trail) MapChanged(group string, change experts.MapChange) {
-	t.note(config.AuditMap, group, fmt.Sprintf("map %d from pass %d of epoch %d, %d experts loaded or dropped, fence %d",
+func (t *AuditTrail) MapChanged(group string, change experts.MapChange) {
+	t.enqueue(config.AuditMap, group, fmt.Sprintf("map %d from pass %d of epoch %d, %d experts loaded or dropped, fence %d",
 		change.Version, change.Pass, change.Epoch, change.Moves, change.Fence))
 }
 
-func (t *Trail) note(action config.AuditAction, group, detail string) {
+func (t *AuditTrail) enqueue(action config.AuditAction, group, detail string) {
 	event := &config.Event{Actor: t.daemon, Action: action, Object: string(config.KindGroup) + "/" + group, Detail: detail}
 	select {
 	case t.events <- event:
@@ -54,7 +54,7 @@
 }
 
 // Run appends what was noted until the context ends.
-func (t *Trail) Run(ctx context.Context) {
+func (t *AuditTrail) Run(ctx context.Context) {
 	for {
 		select {
 		case event := <-t.events:
@@ -65,8 +65,8 @@
 	}
 }
 
-func (t *Trail) append(ctx context.Context, event *config.Event) {
-	ctx, cancel := context.WithTimeout(ctx, trailTimeout)
+func (t *AuditTrail) append(ctx context.Context, event *config.Event) {
+	ctx, cancel := context.WithTimeout(ctx, auditTimeout)
 	defer cancel()
 	record := &config.Record{Format: config.FormatVersion, Kind: config.RecordEvent, Event: event}
 	data, err := record.Encode()
--- a/internal/longpoll/longpoll.go
+++ b/internal/longpoll/longpoll.go
@@ -10,38 +10,38 @@
 const (
 	// DoubtWait is how long such a read may wait while its silence is in doubt: it bounds
 	// how late news is then, at two calls a second.
-	DoubtWait = 500 * time.Millisecond
+	UntrustedWait = 500 * time.Millisecond
 	// PeerAheadGrace is how long a read may still be silent about what a peer has told: reads
 	// of several daemons end some milliseconds apart.
 	PeerAheadGrace = 150 * time.Millisecond
 	// doubtTime is for how long silence is in doubt after anything that may have left a read
 	// deaf. After a compaction, reads of the store are stale by some seconds.
-	doubtTime = 10 * time.Second
+	untrustedTime = 10 * time.Second
 )
 
 // Doubt is whether the silence of a source can be believed. After a compaction of the
 // operators' topic all reads that had begun in its wake heard of nothing, without an error:
 // entries that believed them stayed on an old configuration for good. The zero value
 // believes. Safe for concurrent use.
-type Doubt struct {
-	until atomic.Int64 // nanoseconds since 1970
+type Trust struct {
+	revokedUntil atomic.Int64 // nanoseconds since 1970
 }
 
 // Raise doubts from now on for a while. It returns whether silence was believed before.
-func (d *Doubt) Raise(now time.Time) (news bool) {
-	news = !d.Holds(now)
-	d.until.Store(now.Add(doubtTime).UnixNano())
+func (d *Trust) Revoke(now time.Time) (news bool) {
+	news = !d.Revoked(now)
+	d.revokedUntil.Store(now.Add(untrustedTime).UnixNano())
 	return news
 }
 
 // Holds tells whether silence is in doubt.
-func (d *Doubt) Holds(now time.Time) bool { return now.UnixNano() < d.until.Load() }
+func (d *Trust) Revoked(now time.Time) bool { return now.UnixNano() < d.revokedUntil.Load() }
 
 // Bound returns how long a read may wait that would wait for a time if its silence could be
 // believed.
-func (d *Doubt) Bound(wait time.Duration, now time.Time) time.Duration {
-	if d.Holds(now) {
-		return min(wait, DoubtWait)
+func (d *Trust) MaxWait(wait time.Duration, now time.Time) time.Duration {
+	if d.Revoked(now) {
+		return min(wait, UntrustedWait)
 	}
 	return wait
 }
--- a/internal/membership/follow.go
+++ b/internal/membership/follow.go
@@ -116,7 +116,7 @@
 	onReached func()
 	// silence judges the reads that wait for a configuration, reading is the position that
 	// the present one waits for.
-	silence longpoll.Doubt
+	silence longpoll.Trust
 	reading atomic.Int64
 	// gone is the position of each topic that the store didn't have last. Each topic is
 	// followed by one goroutine.
--- a/internal/membership/silence.go
+++ b/internal/membership/silence.go
@@ -18,7 +18,7 @@
 
 // doubt makes reads for configurations short for a while.
 func (f *Follower) doubt(cause error) {
-	if f.silence.Raise(f.members.now()) {
+	if f.silence.Revoke(f.members.now()) {
 		f.log.WithError(cause).WithField("confirmed_ms", f.members.ConfigAge().Milliseconds()).Info("the store's silence about configurations isn't believed for a while")
 	}
 }
@@ -29,7 +29,7 @@
 	if f.zone != nil && !f.zone.ReadsItself() {
 		return configWait
 	}
-	return f.silence.Bound(readerConfigWait, f.members.now())
+	return f.silence.MaxWait(readerConfigWait, f.members.now())
 }
 
 // peerKnewMore ends the present read, unless it hears by itself of what a peer has just told.
--- a/internal/membership/silence_test.go
+++ b/internal/membership/silence_test.go
@@ -41,7 +41,7 @@
 		b.store.append(TopicOperators, "config", "2")
 		b.members.operators.next = 0
 		Expect(b.read()).To(Succeed())
-		Expect(b.follower.configPatience()).To(Equal(longpoll.DoubtWait))
+		Expect(b.follower.configPatience()).To(Equal(longpoll.UntrustedWait))
 		Expect(b.logs.AllEntries()).To(ContainElement(HaveField("Message", ContainSubstring("isn't believed"))))
 		b.now = b.now.Add(time.Minute)
 		Expect(b.follower.configPatience()).To(Equal(readerConfigWait))
@@ -53,7 +53,7 @@
 		Consistently(b.follower.rereads, 2*longpoll.PeerAheadGrace).ShouldNot(Receive())
 		b.members.onPeerConfig(2)
 		Eventually(b.follower.rereads, "5s").Should(Receive())
-		Expect(b.follower.configPatience()).To(Equal(longpoll.DoubtWait))
+		Expect(b.follower.configPatience()).To(Equal(longpoll.UntrustedWait))
 	})
 
 	It("is as old as the read that was answered last, or as a peer's that knows as much", func() {
--- a/internal/outcome/keys.go
+++ b/internal/outcome/keys.go
@@ -17,32 +17,32 @@
 }
 
 // Answer is a recorded answer, given again to every repeat of its key.
-type Answer struct {
+type Response struct {
 	Status int
 	Header http.Header
 	Body   []byte
 }
 
 // Verdict is what may be done with a keyed request.
-type Verdict int
+type Decision int
 
 // The verdicts of Keys.Begin.
 const (
 	// VerdictRun permits the start; the caller must end it with Finish, Release or Lose.
-	VerdictRun Verdict = iota
+	DecisionRun Decision = iota
 	// VerdictReplay gives the recorded answer.
-	VerdictReplay
+	DecisionReplay
 	// VerdictWait says that an earlier request with the key is still running.
-	VerdictWait
+	DecisionWait
 	// VerdictConflict says that the key was used for another body.
-	VerdictConflict
+	DecisionConflict
 	// VerdictUnresolved says that an earlier start can't be ruled out.
-	VerdictUnresolved
+	DecisionUnresolved
 	// VerdictFull says that no more keys can be kept; the request did not run.
-	VerdictFull
+	DecisionFull
 	// VerdictClosed says that the key was never seen and will never run here, so
 	// that it may run at the next home.
-	VerdictClosed
+	DecisionClosed
 )
 
 type keyState int
@@ -58,7 +58,7 @@
 	key      Key
 	state    keyState
 	bodyHash string
-	answer   Answer
+	answer   Response
 	ended    time.Time
 	done     chan struct{}
 }
@@ -98,18 +98,18 @@
 	homed     time.Time // when the homes of keys changed last
 	recorded  bool
 	sealed    bool
-	inherited *Inheritance
+	inherited *Handover
 }
 
 // Inheritance is what the run before this one knew when it ended in a planned
 // stop, and that no other run was in between.
-type Inheritance struct {
+type Handover struct {
 	// CoveredFrom is the time from which on it knew every key made since.
 	CoveredFrom time.Time
 	// Sealed is when it ended.
-	Sealed time.Time
+	SealedAt time.Time
 	// Untimed is set when it also knew every key without a time.
-	Untimed bool
+	CoversUntimed bool
 	// Seen are the hashes of the keys that may have run.
 	Seen map[uint64]bool
 }
@@ -122,7 +122,7 @@
 
 // SetTimes changes the window and the clock skew. A longer window doesn't bring
 // back what the shorter one has let go, so keys from before stay unresolved.
-func (k *Keys) SetTimes(now time.Time, window, skew time.Duration) {
+func (k *Keys) SetWindow(now time.Time, window, skew time.Duration) {
 	k.expire(now)
 	if window > k.options.Window {
 		k.floor = now.Add(-k.options.Window + skewFactor*max(skew, k.options.Skew))
@@ -132,19 +132,19 @@
 
 // HomesChanged notes when the homes of the service's keys changed last, by the
 // log's clock: keys that are older may have run at another home.
-func (k *Keys) HomesChanged(at time.Time) { k.homed = at }
+func (k *Keys) MarkHomesChanged(at time.Time) { k.homed = at }
 
 // Knows tells whether the table has an entry for a key.
-func (k *Keys) Knows(key Key) bool { return k.entries[key] != nil }
+func (k *Keys) Has(key Key) bool { return k.entries[key] != nil }
 
 // Recorded notes that this run is on the log, and what it inherits; nil when the
 // run before it didn't end in a planned stop.
-func (k *Keys) Recorded(inherited *Inheritance) {
+func (k *Keys) MarkRecorded(inherited *Handover) {
 	k.recorded = true
 	if inherited == nil {
 		return
 	}
-	gap := k.options.Started.Sub(inherited.Sealed)
+	gap := k.options.Started.Sub(inherited.SealedAt)
 	if gap < UnrecordedDelay-skewFactor*k.options.Skew {
 		k.inherited = inherited
 	}
@@ -155,32 +155,32 @@
 
 // Seal ends the table: nothing is started any more. It returns what the next
 // run may inherit, or nil when this run isn't on the log or knows too many keys.
-func (k *Keys) Seal(now time.Time) *Inheritance {
+func (k *Keys) Seal(now time.Time) *Handover {
 	k.expire(now)
 	k.sealed = true
 	if !k.recorded || len(k.entries) > maxHandoverKeys {
 		return nil
 	}
-	handover := &Inheritance{
-		CoveredFrom: k.options.Started.Add(skewFactor * k.options.Skew),
-		Sealed:      now,
-		Untimed:     now.Sub(k.options.Started) >= k.options.Window,
-		Seen:        map[uint64]bool{},
+	handover := &Handover{
+		CoveredFrom:   k.options.Started.Add(skewFactor * k.options.Skew),
+		SealedAt:      now,
+		CoversUntimed: now.Sub(k.options.Started) >= k.options.Window,
+		Seen:          map[uint64]bool{},
 	}
 	for key := range k.entries {
 		handover.Seen[key.Hash()] = true
 	}
 	if k.inherited != nil {
 		handover.CoveredFrom = k.inherited.CoveredFrom
-		handover.Untimed = handover.Untimed || k.inherited.Untimed
+		handover.CoversUntimed = handover.CoversUntimed || k.inherited.CoversUntimed
 		k.inheritSeen(now, handover)
 	}
 	return handover
 }
 
 // inheritSeen passes on what this run had inherited, while its window lasts.
-func (k *Keys) inheritSeen(now time.Time, handover *Inheritance) {
-	if now.Sub(k.inherited.Sealed) >= k.options.Window {
+func (k *Keys) inheritSeen(now time.Time, handover *Handover) {
+	if now.Sub(k.inherited.SealedAt) >= k.options.Window {
 		return
 	}
 	for hash := range k.inherited.Seen {
@@ -215,41 +215,41 @@
 // Begin decides about a keyed request at time now. The channel is closed when
 // the request that VerdictWait speaks of has ended. With leaving set, a key never
 // seen before is closed instead of run.
-func (k *Keys) Begin(now time.Time, key Key, bodyHash string, leaving bool) (Verdict, Answer, <-chan struct{}) {
+func (k *Keys) Begin(now time.Time, key Key, bodyHash string, leaving bool) (Decision, Response, <-chan struct{}) {
 	k.expire(now)
 	if entry := k.entries[key]; entry != nil {
 		return k.repeat(entry, bodyHash)
 	}
 	if k.sealed || k.mayHaveRun(now, key) {
-		return VerdictUnresolved, Answer{}, nil
+		return DecisionUnresolved, Response{}, nil
 	}
 	if len(k.entries) >= k.options.MaxKeys || k.bytes >= k.options.MaxBytes {
-		return VerdictFull, Answer{}, nil
+		return DecisionFull, Response{}, nil
 	}
 	entry := &keyEntry{key: key, bodyHash: bodyHash, done: make(chan struct{})}
 	k.entries[key] = entry
 	if leaving {
 		k.end(now, entry, keyClosed)
-		return VerdictClosed, Answer{}, nil
+		return DecisionClosed, Response{}, nil
 	}
-	return VerdictRun, Answer{}, nil
+	return DecisionRun, Response{}, nil
 }
 
-func (k *Keys) repeat(entry *keyEntry, bodyHash string) (Verdict, Answer, <-chan struct{}) {
+func (k *Keys) repeat(entry *keyEntry, bodyHash string) (Decision, Response, <-chan struct{}) {
 	if entry.bodyHash != bodyHash {
-		return VerdictConflict, Answer{}, nil
+		return DecisionConflict, Response{}, nil
 	}
 	switch entry.state {
 	case keyAnswered:
-		return VerdictReplay, entry.answer, nil
+		return DecisionReplay, entry.answer, nil
 	case keyRunning:
-		return VerdictWait, Answer{}, entry.done
+		return DecisionWait, Response{}, entry.done
 	case keyClosed:
-		return VerdictClosed, Answer{}, nil
+		return DecisionClosed, Response{}, nil
 	case keyLost:
-		return VerdictUnresolved, Answer{}, nil
+		return DecisionUnresolved, Response{}, nil
 	default:
-		return VerdictUnresolved, Answer{}, nil
+		return DecisionUnresolved, Response{}, nil
 	}
 }
 
@@ -299,7 +299,7 @@
 		return true
 	}
 	if !timed {
-		return !k.inherited.Untimed && now.Before(k.options.Started.Add(k.options.Window))
+		return !k.inherited.CoversUntimed && now.Before(k.options.Started.Add(k.options.Window))
 	}
 	return at.Before(k.inherited.CoveredFrom)
 }
@@ -310,7 +310,7 @@
 const skewFactor = 3
 
 // Finish records the answer of a started key.
-func (k *Keys) Finish(now time.Time, key Key, answer Answer) {
+func (k *Keys) Finish(now time.Time, key Key, answer Response) {
 	entry := k.entries[key]
 	if entry == nil || entry.state != keyRunning {
 		return
@@ -321,7 +321,7 @@
 }
 
 // Lose records that a started key's answer is not known.
-func (k *Keys) Lose(now time.Time, key Key) {
+func (k *Keys) MarkLost(now time.Time, key Key) {
 	entry := k.entries[key]
 	if entry == nil || entry.state != keyRunning {
 		return
--- a/internal/outcome/keys_property_test.go
+++ b/internal/outcome/keys_property_test.go
@@ -59,7 +59,7 @@
 type agentLog struct {
 	records  int
 	run      int
-	handover *Inheritance
+	handover *Handover
 }
 
 func (h *home) now() time.Time { return h.truth.Add(h.offset) }
@@ -88,7 +88,7 @@
 	}
 	h.known = true
 	h.log.records++
-	h.table.Recorded(h.log.handover)
+	h.table.MarkRecorded(h.log.handover)
 	h.log.run, h.log.handover = h.run, nil
 }
 
@@ -121,7 +121,7 @@
 	}
 	id := Key{Customer: "c", Value: key}
 	verdict, _, _ := h.table.Begin(h.now(), id, "hash", false)
-	if verdict != VerdictRun {
+	if verdict != DecisionRun {
 		return
 	}
 	h.started[key]++
@@ -149,9 +149,9 @@
 		id := Key{Customer: "c", Value: key}
 		switch rapid.IntRange(0, 2).Draw(t, "end") {
 		case 0:
-			h.table.Finish(h.now(), id, Answer{Status: 200, Body: []byte(key)})
+			h.table.Finish(h.now(), id, Response{Status: 200, Body: []byte(key)})
 		case 1:
-			h.table.Lose(h.now(), id)
+			h.table.MarkLost(h.now(), id)
 		default:
 			h.table.Release(id)
 			h.started[key] = 0 // it provably did not start
@@ -200,26 +200,26 @@
 func TestRepeatGetsTheRecordedAnswer(t *testing.T) {
 	now := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 	k := NewKeys(KeysOptions{Started: now.Add(-time.Hour), Window: testWindow, Skew: testSkew, MaxKeys: 10, MaxBytes: 100})
-	k.Recorded(nil)
+	k.MarkRecorded(nil)
 	mine := Key{Customer: "mine", Value: keyAt(now, 1)}
 	other := Key{Customer: "other", Value: mine.Value}
-	if v, _, _ := k.Begin(now, mine, "h", false); v != VerdictRun {
+	if v, _, _ := k.Begin(now, mine, "h", false); v != DecisionRun {
 		t.Fatalf("first: %v", v)
 	}
-	if v, _, done := k.Begin(now, mine, "h", false); v != VerdictWait || done == nil {
+	if v, _, done := k.Begin(now, mine, "h", false); v != DecisionWait || done == nil {
 		t.Fatalf("while running: %v", v)
 	}
-	if v, _, _ := k.Begin(now, mine, "other body", false); v != VerdictConflict {
+	if v, _, _ := k.Begin(now, mine, "other body", false); v != DecisionConflict {
 		t.Fatalf("other body: %v", v)
 	}
-	if v, _, _ := k.Begin(now, other, "h", false); v != VerdictRun {
+	if v, _, _ := k.Begin(now, other, "h", false); v != DecisionRun {
 		t.Fatalf("another customer's equal key: %v", v)
 	}
-	k.Finish(now, mine, Answer{Status: 201, Body: []byte("done")})
-	if v, a, _ := k.Begin(now.Add(testWindow/2), mine, "h", false); v != VerdictReplay || string(a.Body) != "done" {
+	k.Finish(now, mine, Response{Status: 201, Body: []byte("done")})
+	if v, a, _ := k.Begin(now.Add(testWindow/2), mine, "h", false); v != DecisionReplay || string(a.Body) != "done" {
 		t.Fatalf("repeat: %v %q", v, a.Body)
 	}
-	if v, _, _ := k.Begin(now.Add(2*testWindow), mine, "h", false); v != VerdictUnresolved {
+	if v, _, _ := k.Begin(now.Add(2*testWindow), mine, "h", false); v != DecisionUnresolved {
 		t.Fatalf("after the window: %v", v)
 	}
 }
@@ -230,34 +230,34 @@
 	now := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 	options := KeysOptions{Started: now, Window: testWindow, Skew: testSkew, MaxKeys: 10, MaxBytes: 100}
 	first := NewKeys(options)
-	first.Recorded(nil)
+	first.MarkRecorded(nil)
 	now = now.Add(time.Minute)
 	seen := Key{Customer: "c", Value: keyAt(now, 1)}
-	if v, _, _ := first.Begin(now, seen, "h", false); v != VerdictRun {
+	if v, _, _ := first.Begin(now, seen, "h", false); v != DecisionRun {
 		t.Fatalf("first run: %v", v)
 	}
-	first.Lose(now, seen)
+	first.MarkLost(now, seen)
 	handover := first.Seal(now)
 	between := Key{Customer: "c", Value: keyAt(now.Add(time.Second), 2)}
-	if v, _, _ := first.Begin(now, between, "h", false); v != VerdictUnresolved {
+	if v, _, _ := first.Begin(now, between, "h", false); v != DecisionUnresolved {
 		t.Fatalf("a sealed table: %v", v)
 	}
 	options.Started = now.Add(2 * time.Second)
 	for _, test := range []struct {
 		name      string
-		inherited *Inheritance
+		inherited *Handover
 		recorded  bool
 		key       Key
-		want      Verdict
+		want      Decision
 	}{
-		{"never seen", handover, true, between, VerdictRun},
-		{"seen before", handover, true, seen, VerdictUnresolved},
-		{"no handover", nil, true, between, VerdictUnresolved},
-		{"not on the log", nil, false, between, VerdictUnresolved},
+		{"never seen", handover, true, between, DecisionRun},
+		{"seen before", handover, true, seen, DecisionUnresolved},
+		{"no handover", nil, true, between, DecisionUnresolved},
+		{"not on the log", nil, false, between, DecisionUnresolved},
 	} {
 		second := NewKeys(options)
 		if test.recorded {
-			second.Recorded(test.inherited)
+			second.MarkRecorded(test.inherited)
 		}
 		if v, _, _ := second.Begin(options.Started, test.key, "h", false); v != test.want {
 			t.Errorf("%s: %v, want %v", test.name, v, test.want)
@@ -271,19 +271,19 @@
 	now := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 	options := KeysOptions{Started: now, Window: 10 * testWindow, Skew: testSkew, MaxKeys: 10, MaxBytes: 100}
 	first := NewKeys(options)
-	first.Recorded(nil)
+	first.MarkRecorded(nil)
 	handover := first.Seal(now.Add(time.Minute))
-	options.Started = handover.Sealed.Add(time.Second)
+	options.Started = handover.SealedAt.Add(time.Second)
 	unknown := NewKeys(options) // never gets onto the log
 	now = options.Started.Add(UnrecordedDelay)
 	key := Key{Customer: "c", Value: keyAt(now, 1)}
-	if v, _, _ := unknown.Begin(now, key, "h", false); v != VerdictRun {
+	if v, _, _ := unknown.Begin(now, key, "h", false); v != DecisionRun {
 		t.Fatalf("a run that waited long enough: %v", v)
 	}
 	options.Started = now.Add(time.Second)
 	third := NewKeys(options)
-	third.Recorded(handover)
-	if v, _, _ := third.Begin(options.Started, key, "h", false); v != VerdictUnresolved {
+	third.MarkRecorded(handover)
+	if v, _, _ := third.Begin(options.Started, key, "h", false); v != DecisionUnresolved {
 		t.Fatalf("the key ran meanwhile: %v", v)
 	}
 }
@@ -293,16 +293,16 @@
 func TestLongerWindowBringsNothingBack(t *testing.T) {
 	now := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 	k := NewKeys(KeysOptions{Started: now.Add(-time.Hour), Window: testWindow, Skew: testSkew, MaxKeys: 10, MaxBytes: 100})
-	k.Recorded(nil)
+	k.MarkRecorded(nil)
 	key := Key{Value: keyAt(now, 1)}
 	k.Begin(now, key, "h", false)
-	k.Lose(now, key)
+	k.MarkLost(now, key)
 	now = now.Add(2 * testWindow)
-	k.SetTimes(now, 10*testWindow, testSkew)
-	if v, _, _ := k.Begin(now, key, "h", false); v != VerdictUnresolved {
+	k.SetWindow(now, 10*testWindow, testSkew)
+	if v, _, _ := k.Begin(now, key, "h", false); v != DecisionUnresolved {
 		t.Fatalf("a key that was let go: %v", v)
 	}
-	if v, _, _ := k.Begin(now, Key{Value: keyAt(now, 2)}, "h", false); v != VerdictRun {
+	if v, _, _ := k.Begin(now, Key{Value: keyAt(now, 2)}, "h", false); v != DecisionRun {
 		t.Fatalf("a new key: %v", v)
 	}
 }
@@ -312,15 +312,15 @@
 func TestMovedKeyIsNotRunAtItsNewHome(t *testing.T) {
 	now := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 	k := NewKeys(KeysOptions{Started: now.Add(-time.Hour), Window: testWindow, Skew: testSkew, MaxKeys: 10, MaxBytes: 100})
-	k.Recorded(nil)
+	k.MarkRecorded(nil)
 	seen, moved := Key{Value: keyAt(now, 1)}, Key{Value: keyAt(now, 2)}
 	k.Begin(now, seen, "h", false)
-	k.Finish(now, seen, Answer{Status: 200})
+	k.Finish(now, seen, Response{Status: 200})
 	now = now.Add(time.Second)
-	k.HomesChanged(now)
+	k.MarkHomesChanged(now)
 	now = now.Add(skewFactor*testSkew + 2*time.Second)
 	young := Key{Value: keyAt(now, 3)}
-	for key, want := range map[Key]Verdict{seen: VerdictReplay, moved: VerdictUnresolved, young: VerdictRun} {
+	for key, want := range map[Key]Decision{seen: DecisionReplay, moved: DecisionUnresolved, young: DecisionRun} {
 		if v, _, _ := k.Begin(now, key, "h", false); v != want {
 			t.Errorf("%v: %v, want %v", key, v, want)
 		}
@@ -330,12 +330,12 @@
 func TestLeavingClosesUnseenKeys(t *testing.T) {
 	now := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 	k := NewKeys(KeysOptions{Started: now.Add(-time.Hour), Window: testWindow, Skew: testSkew, MaxKeys: 10, MaxBytes: 100})
-	k.Recorded(nil)
+	k.MarkRecorded(nil)
 	key := Key{Value: keyAt(now, 1)}
-	if v, _, _ := k.Begin(now, key, "h", true); v != VerdictClosed {
+	if v, _, _ := k.Begin(now, key, "h", true); v != DecisionClosed {
 		t.Fatalf("leaving: %v", v)
 	}
-	if v, _, _ := k.Begin(now, key, "h", false); v != VerdictClosed {
+	if v, _, _ := k.Begin(now, key, "h", false); v != DecisionClosed {
 		t.Fatalf("a closed key must not run here: %v", v)
 	}
 }
@@ -344,7 +344,7 @@
 	now := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 	k := NewKeys(KeysOptions{Started: now.Add(-time.Hour), Window: testWindow, Skew: testSkew, MaxKeys: 1, MaxBytes: 100})
 	k.Begin(now, Key{Value: keyAt(now, 1)}, "h", false)
-	if v, _, _ := k.Begin(now, Key{Value: keyAt(now, 2)}, "h", false); v != VerdictFull {
+	if v, _, _ := k.Begin(now, Key{Value: keyAt(now, 2)}, "h", false); v != DecisionFull {
 		t.Fatalf("full: %v", v)
 	}
 }
--- a/internal/platformdaemon/admin.go
+++ b/internal/platformdaemon/admin.go
@@ -62,9 +62,9 @@
 }
 
 // limitState says what a server takes, and what is left of it.
-func limitState(limit *ratelimit.Limit) string {
+func limitState(limit *ratelimit.Status) string {
 	return fmt.Sprintf("limited to %.3g a second, said %s ago; %.0f%% of it used from here, %.1f tokens", limit.PerSecond,
-		limit.Age.Round(100*time.Millisecond), 100*limit.Part, limit.Tokens)
+		limit.Age.Round(100*time.Millisecond), 100*limit.Share, limit.Tokens)
 }
 
 // Explain implements admin.Host. Requests on the platform are told apart by host and
@@ -105,7 +105,7 @@
 	if bar := e.board.Exclusion(server.Key(), e.clock.Now()); bar != nil {
 		return bar.String()
 	}
-	if limit := e.board.Limits().Limit(server.Key(), e.clock.Now()); limit != nil && limit.Tokens < 1 {
+	if limit := e.board.Limits().Status(server.Key(), e.clock.Now()); limit != nil && limit.Tokens < 1 {
 		return limitState(limit)
 	}
 	return ""
--- a/internal/platformdaemon/crashgossip.go
+++ b/internal/platformdaemon/crashgossip.go
@@ -25,7 +25,7 @@
 func (e *EntryDaemon) tellCrashes(ctx context.Context, conn net.PacketConn) {
 	for {
 		select {
-		case evidence := <-e.crashes.News():
+		case evidence := <-e.crashes.Updates():
 			messages := crash.Encode(evidence, e.clock.Now())
 			for at := 0; at < len(messages); at += crashesEach {
 				e.sendCrashes(conn, messages[at:min(at+crashesEach, len(messages))])
@@ -73,11 +73,11 @@
 			e.log.WithError(err).Debug("crash news not understood")
 			continue
 		}
-		e.crashes.Hear(crash.Decode(news.GetEvidence(), e.clock.Now()), "entry "+from.String())
+		e.crashes.MergeEvidence(crash.Decode(news.GetEvidence(), e.clock.Now()), "entry "+from.String())
 	}
 }
 
 // keepQuarantines keeps quarantines in the product's own configuration.
 func (e *EntryDaemon) keepQuarantines(ctx context.Context) {
-	crash.NewKeeper(e.crashes, e.replica, e.configLog, e.settings.Daemon, time.Now).Run(ctx)
+	crash.NewStore(e.crashes, e.replica, e.configLog, e.settings.Daemon, time.Now).Run(ctx)
 }
--- a/internal/platformdaemon/entry.go
+++ b/internal/platformdaemon/entry.go
@@ -51,7 +51,7 @@
 	follower *membership.Follower
 	exchange *membership.Exchange
 	board    *dispatch.Balancer
-	crashes  *crash.Watch
+	crashes  *crash.Detector
 	pipeline *dispatch.Pipeline
 	frontend *frontend.Server
 	// replica has the product's own configuration, steering its selectors.
@@ -86,7 +86,7 @@
 	backend := upstream.New(platform.Wire{})
 	members.OnServers(func(servers *fleet.Servers) { e.board.Prune(servers, clk.Now()) })
 	members.OnServers(backend.Prune)
-	members.OnServers(e.crashes.Keep)
+	members.OnServers(e.crashes.UpdateRegistry)
 	e.exchange.SetEras(store.Eras())
 	e.follower.OnReached(rep.Reread)
 	store.Eras().OnNew(func(int64, int64) {
@@ -95,12 +95,12 @@
 	})
 	e.exchange.SetCrashes(e.crashes)
 	e.exchange.SetConfiguration(rep)
-	e.crashes.SetBars(func(server string) *eligibility.Bar { return e.board.Exclusion(server, clk.Now()) })
+	e.crashes.SetExclusions(func(server string) *eligibility.Exclusion { return e.board.Exclusion(server, clk.Now()) })
 	view := steeredFleet{Membership: members, steering: e.steering}
 	e.pipeline = dispatch.NewPipeline(view, e.board, backend, clk.Now, log)
 	e.pipeline.SetQuarantine(e.crashes)
 	e.frontend = frontend.New(e.pipeline, platform.Wire{}, e.limits, clk.Now)
-	clk.OnWake(e.woke)
+	clk.OnResume(e.woke)
 	if len(operators) > 0 {
 		e.api = admin.New(e, rep, e.configLog, store, operators, log)
 	}
@@ -111,7 +111,7 @@
 // timers of what is due didn't run meanwhile.
 func (e *EntryDaemon) woke(suspended time.Duration) {
 	e.log.WithField("suspended_ms", suspended.Milliseconds()).Warn("the VM has been suspended: registrations and configuration are read again")
-	e.board.Limits().Woke(e.clock.Now())
+	e.board.Limits().Resumed(e.clock.Now())
 	e.follower.Wake()
 }
 
@@ -188,7 +188,7 @@
 	select {
 	case <-ctx.Done():
 		e.leave()
-		e.sendLimits(limits, e.board.Limits().Farewell())
+		e.sendLimits(limits, e.board.Limits().DepartureMessage())
 	case <-tasks.Done():
 	}
 	end()
@@ -219,9 +219,9 @@
 		fmt.Fprintf(w, `{"configuration_confirmed_ms":%d}`, e.members.ConfigAge().Milliseconds())
 	})
 	metrics.GetOrCreateGauge(`crowbridge_configuration_confirmed_age_seconds`, func() float64 { return e.members.ConfigAge().Seconds() })
-	metrics.GetOrCreateGauge(`crowbridge_limited_servers`, func() float64 { return float64(e.board.Limits().Limited()) })
+	metrics.GetOrCreateGauge(`crowbridge_limited_servers`, func() float64 { return float64(e.board.Limits().LimitedServers()) })
 	metrics.GetOrCreateGauge(`crowbridge_limits_part`, func() float64 {
-		part, _ := e.board.Limits().Part(e.clock.Now())
+		part, _ := e.board.Limits().Share(e.clock.Now())
 		return part
 	})
 	control := http.NewServeMux()
@@ -281,7 +281,7 @@
 	for ctx.Err() == nil {
 		peers := e.exchange.Peers()
 		e.board.SetEntries(e.settings.Control, peers)
-		e.crashes.Forget(peers)
+		e.crashes.RetainPeers(peers)
 		rand.Shuffle(len(peers), func(i, j int) { peers[i], peers[j] = peers[j], peers[i] })
 		pace, most := peersPace, peersAtOnce
 		if e.follower.Healthy() {
--- a/internal/platformdaemon/limitgossip.go
+++ b/internal/platformdaemon/limitgossip.go
@@ -35,20 +35,20 @@
 		var news []*peerrpc.LimitNews
 		select {
 		case <-limits.Changed():
-			news = limits.News(e.clock.Now())
+			news = limits.Updates(e.clock.Now())
 			if idle {
-				refresh.Reset(limits.Refresh())
+				refresh.Reset(limits.RefreshInterval())
 			}
 			idle = false
 		case <-refresh.C:
 			e.meet()
-			news = limits.State(e.clock.Now())
+			news = limits.RefreshMessages(e.clock.Now())
 			if idle = !limits.Any(); idle {
 				refresh.Reset(idleLimitsPace)
 				break
 			}
 			e.logPart()
-			refresh.Reset(limits.Refresh())
+			refresh.Reset(limits.RefreshInterval())
 		case <-ctx.Done():
 			return
 		}
@@ -61,7 +61,7 @@
 
 // logPart writes which part of servers' limits is used, when it's another one.
 func (e *EntryDaemon) logPart() {
-	part, heard := e.board.Limits().Part(e.clock.Now())
+	part, heard := e.board.Limits().Share(e.clock.Now())
 	if part == e.limitPart {
 		return
 	}
@@ -91,7 +91,7 @@
 func (e *EntryDaemon) meet() {
 	for control, at := range e.exchange.Met() {
 		if address, err := netip.ParseAddrPort(control); err == nil {
-			e.board.Limits().Met(address.Addr().String(), at)
+			e.board.Limits().MarkPeerSeen(address.Addr().String(), at)
 		}
 	}
 }
@@ -119,17 +119,17 @@
 		if !ok {
 			continue // the socket is UDP's
 		}
-		for _, change := range e.board.Limits().Hear(source.IP.String(), &news, e.clock.Now()) {
+		for _, change := range e.board.Limits().Receive(source.IP.String(), &news, e.clock.Now()) {
 			e.logLimit(change, source.IP.String())
 		}
 	}
 }
 
 // logLimit writes what another entry told of a server.
-func (e *EntryDaemon) logLimit(change ratelimit.News, source string) {
+func (e *EntryDaemon) logLimit(change ratelimit.Change, source string) {
 	e.log.WithFields(logrus.Fields{
-		"start": change.Server, "source": source, "limit": change.Limit.PerSecond, "named": change.Limit.Named,
-		"before": change.Before.PerSecond, "before_named": change.Before.Named,
-		"age_ms": e.clock.Now().Sub(change.Limit.Heard).Milliseconds(),
+		"start": change.Server, "source": source, "limit": change.Limit.PerSecond, "named": change.Limit.Present,
+		"before": change.Previous.PerSecond, "before_named": change.Previous.Present,
+		"age_ms": e.clock.Now().Sub(change.Limit.ReceivedAt).Milliseconds(),
 	}).Info("another entry knows another limit of a server")
 }
--- a/internal/quarantine/table.go
+++ b/internal/quarantine/table.go
@@ -30,7 +30,7 @@
 
 // request is what is known of one request.
 type request struct {
-	about About
+	about RequestInfo
 	// inProgress are attempts of callers that run or wait here.
 	inProgress int
 	// cuts are attempts that were cut off, by server.
@@ -81,16 +81,16 @@
 
 // Enter asks whether a request may go to a server now. If it is sound or suspect it
 // counts as in progress until Leave.
-func (t *Table) Enter(d Digest, now time.Time) Verdict {
+func (t *Table) Admit(d Digest, now time.Time) Decision {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.expire(now)
 	r := t.request(d)
-	v := t.verdict(d, r, now)
+	v := t.decide(d, r, now)
 	if v.State == Suspect && r.inProgress > 0 {
-		v.State = Undecided
+		v.State = Pending
 	}
-	if v.State == Sound || v.State == Suspect {
+	if v.State == Healthy || v.State == Suspect {
 		r.inProgress++
 	}
 	t.drop(d, r)
@@ -98,7 +98,7 @@
 }
 
 // Leave ends what Enter began.
-func (t *Table) Leave(d Digest) {
+func (t *Table) Release(d Digest) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	r := t.request(d)
@@ -114,22 +114,22 @@
 }
 
 // Verdict tells what is held of a request.
-func (t *Table) Verdict(d Digest, now time.Time) Verdict {
+func (t *Table) Decision(d Digest, now time.Time) Decision {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	r := t.requests[d]
 	if r == nil {
-		return Verdict{}
+		return Decision{}
 	}
-	return t.verdict(d, r, now)
+	return t.decide(d, r, now)
 }
 
 // CutOff notes that an attempt's connection to a server ended under it. It tells whether
 // this is the server's only one that is undecided: then somebody has to find out.
-func (t *Table) CutOff(d Digest, about About, server string, now time.Time) (first bool) {
+func (t *Table) ConnectionLost(d Digest, about RequestInfo, server string, now time.Time) (first bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	first = !t.undecided(server, now)
+	first = !t.exitPending(server, now)
 	r := t.request(d)
 	r.about = about
 	if r.cuts == nil {
@@ -141,13 +141,13 @@
 
 // Undecided tells whether attempts were cut off at a server of which it isn't known
 // whether it ended.
-func (t *Table) Undecided(server string, now time.Time) bool {
+func (t *Table) ExitPending(server string, now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.undecided(server, now)
+	return t.exitPending(server, now)
 }
 
-func (t *Table) undecided(server string, now time.Time) bool {
+func (t *Table) exitPending(server string, now time.Time) bool {
 	for _, r := range t.requests {
 		if c, found := r.cuts[server]; found && !c.alive && now.Sub(c.at) < undecidedTime {
 			return true
@@ -157,7 +157,7 @@
 }
 
 // Alive notes that a server has lived on after what was cut off there up to a time.
-func (t *Table) Alive(server string, upTo time.Time) {
+func (t *Table) MarkAlive(server string, upTo time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, r := range t.requests {
@@ -170,7 +170,7 @@
 
 // Ended notes that a server has ended. It returns the evidence against the requests whose
 // attempts were cut off there shortly before.
-func (t *Table) Ended(server string, now time.Time) []Evidence {
+func (t *Table) MarkExited(server string, now time.Time) []Evidence {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var news []Evidence
@@ -189,7 +189,7 @@
 			continue
 		}
 		t.setEnd(r, d, name, end{at: c.at, learned: now, own: true})
-		news = append(news, Evidence{Digest: d, About: r.about, Server: name, At: c.at})
+		news = append(news, Evidence{Digest: d, Info: r.about, Server: name, ExitedAt: c.at})
 	}
 	t.bound()
 	return news
@@ -235,7 +235,7 @@
 
 // Served notes that a request has run to a good end: it ends no servers. It returns what
 // that clears.
-func (t *Table) Served(d Digest) []Evidence {
+func (t *Table) MarkServed(d Digest) []Evidence {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	r := t.requests[d]
@@ -254,7 +254,7 @@
 		}
 		e.cleared = true
 		t.setEnd(r, d, server, e)
-		news = append(news, Evidence{Digest: d, About: r.about, Server: server, At: e.at, Cleared: true})
+		news = append(news, Evidence{Digest: d, Info: r.about, Server: server, ExitedAt: e.at, Cleared: true})
 	}
 	t.drop(d, r)
 	return news
@@ -266,7 +266,7 @@
 	defer t.mu.Unlock()
 	var news []Evidence
 	for _, e := range evidence {
-		if now.Sub(e.At) > longQuarantine {
+		if now.Sub(e.ExitedAt) > longQuarantine {
 			continue
 		}
 		r := t.request(e.Digest)
@@ -275,12 +275,12 @@
 			continue
 		}
 		if known {
-			e.At = old.at
+			e.ExitedAt = old.at
 		}
-		if e.About != (About{}) {
-			r.about = e.About
+		if e.Info != (RequestInfo{}) {
+			r.about = e.Info
 		}
-		t.setEnd(r, e.Digest, e.Server, end{at: e.At, learned: now, cleared: e.Cleared})
+		t.setEnd(r, e.Digest, e.Server, end{at: e.ExitedAt, learned: now, cleared: e.Cleared})
 		news = append(news, e)
 	}
 	t.bound()
@@ -296,7 +296,7 @@
 	for d, r := range t.requests {
 		for server, e := range r.ends {
 			if e.change > change {
-				found = append(found, Evidence{Digest: d, About: r.about, Server: server, At: e.at, Cleared: e.cleared})
+				found = append(found, Evidence{Digest: d, Info: r.about, Server: server, ExitedAt: e.at, Cleared: e.cleared})
 			}
 		}
 	}
@@ -311,14 +311,14 @@
 }
 
 // Order quarantines a request until a time, as the operators' configuration says.
-func (t *Table) Order(d Digest, until time.Time) {
+func (t *Table) QuarantineUntil(d Digest, until time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.request(d).ordered = until
 }
 
 // Release ends a request's quarantine, as the operators say. It returns what that clears.
-func (t *Table) Release(d Digest) []Evidence {
+func (t *Table) EndQuarantine(d Digest) []Evidence {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	r := t.request(d)
@@ -327,15 +327,15 @@
 }
 
 // Quarantined returns the requests that are quarantined because of servers' ends.
-func (t *Table) Quarantined(now time.Time) map[Digest]Verdict {
+func (t *Table) Quarantined(now time.Time) map[Digest]Decision {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	found := map[Digest]Verdict{}
+	found := map[Digest]Decision{}
 	for d, r := range t.requests {
 		if len(r.endedServers()) < endsToQuarantine {
 			continue
 		}
-		if v := t.verdict(d, r, now); v.State == Quarantined {
+		if v := t.decide(d, r, now); v.State == Quarantined {
 			found[d] = v
 		}
 	}
@@ -344,7 +344,7 @@
 
 // Announce tells whether a quarantined request has more ends than when it was asked last:
 // it is news.
-func (t *Table) Announce(d Digest, v Verdict) bool {
+func (t *Table) MarkAnnounced(d Digest, v Decision) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	r := t.request(d)
@@ -358,7 +358,7 @@
 // Acquitted tells whether the evidence speaks for a request, though this table has all of
 // the ends for which it was quarantined: they have been cleared, or others have turned out
 // to share them. That its time is over doesn't: operators may have prolonged it.
-func (t *Table) Acquitted(d Digest, servers []string, now time.Time) bool {
+func (t *Table) Cleared(d Digest, servers []string, now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	r := t.requests[d]
--- a/internal/quarantine/table_test.go
+++ b/internal/quarantine/table_test.go
@@ -14,7 +14,7 @@
 var start = time.Unix(1000, 0)
 
 // about is the requests'.
-var about = quarantine.AboutRequest("c", "/x?p=1")
+var about = quarantine.NewRequestInfo("c", "/x?p=1")
 
 func digest(n int) quarantine.Digest {
 	return quarantine.DigestOf("c", "POST", "h", "/", []byte(fmt.Sprint(n)))
@@ -22,8 +22,8 @@
 
 // ends cuts a request off at a server that then turns out to have ended.
 func ends(t *quarantine.Table, d quarantine.Digest, server string, now time.Time) []quarantine.Evidence {
-	t.CutOff(d, about, server, now)
-	return t.Ended(server, now)
+	t.ConnectionLost(d, about, server, now)
+	return t.MarkExited(server, now)
 }
 
 var _ = Describe("a request", func() {
@@ -32,82 +32,82 @@
 
 	BeforeEach(func() { table = quarantine.NewTable() })
 
-	state := func(now time.Time) quarantine.State { return table.Verdict(d, now).State }
+	state := func(now time.Time) quarantine.State { return table.Decision(d, now).State }
 
 	It("is quarantined once two servers have ended under it, and not before", func() {
-		Expect(state(start)).To(Equal(quarantine.Sound))
+		Expect(state(start)).To(Equal(quarantine.Healthy))
 		ends(table, d, "a", start)
 		Expect(state(start)).To(Equal(quarantine.Suspect))
 		ends(table, d, "b", start.Add(time.Second))
-		Expect(table.Enter(d, start.Add(time.Second)).State).To(Equal(quarantine.Undecided), "others may share its ends")
+		Expect(table.Admit(d, start.Add(time.Second)).State).To(Equal(quarantine.Pending), "others may share its ends")
 		settled := start.Add(time.Second + quarantine.SettleTime)
 		Expect(state(settled)).To(Equal(quarantine.Quarantined))
-		Expect(table.Verdict(d, settled).Servers).To(Equal([]string{"a", "b"}))
-		Expect(table.Enter(d, settled).State).To(Equal(quarantine.Quarantined))
-		Expect(table.Announce(d, table.Verdict(d, settled))).To(BeTrue())
-		Expect(table.Announce(d, table.Verdict(d, settled))).To(BeFalse())
+		Expect(table.Decision(d, settled).Servers).To(Equal([]string{"a", "b"}))
+		Expect(table.Admit(d, settled).State).To(Equal(quarantine.Quarantined))
+		Expect(table.MarkAnnounced(d, table.Decision(d, settled))).To(BeTrue())
+		Expect(table.MarkAnnounced(d, table.Decision(d, settled))).To(BeFalse())
 	})
 
 	It("that shares both ends with another is told from it by what follows", func() {
 		sound, settled := digest(2), start.Add(quarantine.SettleTime)
 		for _, server := range []string{"a", "b"} {
-			table.CutOff(sound, about, server, start)
+			table.ConnectionLost(sound, about, server, start)
 			ends(table, d, server, start)
 		}
 		Expect(state(settled)).To(Equal(quarantine.Suspect))
-		Expect(table.Verdict(sound, settled).State).To(Equal(quarantine.Suspect))
-		table.Served(sound)
+		Expect(table.Decision(sound, settled).State).To(Equal(quarantine.Suspect))
+		table.MarkServed(sound)
 		Expect(state(settled)).To(Equal(quarantine.Quarantined), "the other has run to a good end")
-		Expect(table.Verdict(sound, settled).State).To(Equal(quarantine.Sound))
+		Expect(table.Decision(sound, settled).State).To(Equal(quarantine.Healthy))
 	})
 
 	It("that shares both ends with another is quarantined when a third server ends, and the other isn't", func() {
 		sound, settled := digest(2), start.Add(quarantine.SettleTime)
 		for _, server := range []string{"a", "b"} {
-			table.CutOff(sound, about, server, start)
+			table.ConnectionLost(sound, about, server, start)
 			ends(table, d, server, start)
 		}
 		ends(table, d, "c", settled)
 		Expect(state(settled)).To(Equal(quarantine.Quarantined))
-		Expect(table.Verdict(sound, settled).State).To(Equal(quarantine.Suspect))
+		Expect(table.Decision(sound, settled).State).To(Equal(quarantine.Suspect))
 	})
 
 	It("that shares one end with it stays free, and so does one that was cut off elsewhere", func() {
 		beside, elsewhere := digest(2), digest(3)
-		table.CutOff(beside, about, "a", start)
-		table.CutOff(elsewhere, about, "c", start)
+		table.ConnectionLost(beside, about, "a", start)
+		table.ConnectionLost(elsewhere, about, "c", start)
 		ends(table, d, "a", start)
 		ends(table, d, "b", start.Add(time.Second))
-		table.Alive("c", start)
-		Expect(table.Verdict(beside, start.Add(time.Second)).State).To(Equal(quarantine.Suspect))
-		Expect(table.Verdict(elsewhere, start.Add(time.Second)).State).To(Equal(quarantine.Sound))
+		table.MarkAlive("c", start)
+		Expect(table.Decision(beside, start.Add(time.Second)).State).To(Equal(quarantine.Suspect))
+		Expect(table.Decision(elsewhere, start.Add(time.Second)).State).To(Equal(quarantine.Healthy))
 	})
 
 	It("that has run to a good end is cleared, and needs two more ends", func() {
 		ends(table, d, "a", start)
-		Expect(table.Served(d)).To(HaveLen(1))
-		Expect(state(start)).To(Equal(quarantine.Sound))
-		Expect(table.Acquitted(d, []string{"a"}, start)).To(BeTrue())
+		Expect(table.MarkServed(d)).To(HaveLen(1))
+		Expect(state(start)).To(Equal(quarantine.Healthy))
+		Expect(table.Cleared(d, []string{"a"}, start)).To(BeTrue())
 		ends(table, d, "b", start.Add(time.Second))
 		Expect(state(start.Add(time.Second))).To(Equal(quarantine.Suspect))
 	})
 
 	It("waits while it isn't known whether a second server has ended", func() {
-		table.CutOff(d, about, "a", start)
+		table.ConnectionLost(d, about, "a", start)
 		Expect(state(start)).To(Equal(quarantine.Suspect), "one may be tried again")
-		table.CutOff(d, about, "b", start)
-		Expect(table.Enter(d, start).State).To(Equal(quarantine.Undecided))
-		table.Alive("a", start)
+		table.ConnectionLost(d, about, "b", start)
+		Expect(table.Admit(d, start).State).To(Equal(quarantine.Pending))
+		table.MarkAlive("a", start)
 		Expect(state(start)).To(Equal(quarantine.Suspect))
-		Expect(state(start.Add(5*time.Second))).To(Equal(quarantine.Sound), "not for ever")
+		Expect(state(start.Add(5*time.Second))).To(Equal(quarantine.Healthy), "not for ever")
 	})
 
 	It("that is suspect runs once at a time", func() {
 		ends(table, d, "a", start)
-		Expect(table.Enter(d, start).State).To(Equal(quarantine.Suspect))
-		Expect(table.Enter(d, start).State).To(Equal(quarantine.Undecided))
-		table.Leave(d)
-		Expect(table.Enter(d, start).State).To(Equal(quarantine.Suspect))
+		Expect(table.Admit(d, start).State).To(Equal(quarantine.Suspect))
+		Expect(table.Admit(d, start).State).To(Equal(quarantine.Pending))
+		table.Release(d)
+		Expect(table.Admit(d, start).State).To(Equal(quarantine.Suspect))
 	})
 
 	It("counts the ends of a server that starts again under its ID, each once", func() {
@@ -119,18 +119,18 @@
 	})
 
 	It("isn't held to account for an end long after it was cut off", func() {
-		table.CutOff(d, about, "a", start)
-		Expect(table.Ended("a", start.Add(time.Minute))).To(BeEmpty())
+		table.ConnectionLost(d, about, "a", start)
+		Expect(table.MarkExited("a", start.Add(time.Minute))).To(BeEmpty())
 	})
 
 	It("gets one more attempt after a first quarantine, and a day after a third end", func() {
 		ends(table, d, "a", start.Add(-2*time.Second))
 		ends(table, d, "b", start)
-		later := table.Verdict(d, start).Until
+		later := table.Decision(d, start).Until
 		Expect(later.Sub(start)).To(Equal(30 * time.Minute))
-		Expect(table.Enter(d, later).State).To(Equal(quarantine.Suspect))
+		Expect(table.Admit(d, later).State).To(Equal(quarantine.Suspect))
 		ends(table, d, "c", later)
-		Expect(table.Verdict(d, later).Until.Sub(later)).To(Equal(24 * time.Hour))
+		Expect(table.Decision(d, later).Until.Sub(later)).To(Equal(24 * time.Hour))
 	})
 
 	It("isn't held to account for a failure that took other servers, too", func() {
@@ -139,15 +139,15 @@
 		}
 		settled := start.Add(time.Second)
 		Expect(state(settled)).To(Equal(quarantine.Quarantined))
-		Expect(table.Acquitted(d, []string{"a", "b", "c"}, settled)).To(BeFalse())
+		Expect(table.Cleared(d, []string{"a", "b", "c"}, settled)).To(BeFalse())
 		ends(table, digest(2), "z", start.Add(100*time.Millisecond))
 		Expect(state(settled)).To(Equal(quarantine.Suspect))
-		table.Order(d, settled.Add(time.Minute))
+		table.QuarantineUntil(d, settled.Add(time.Minute))
 		Expect(state(settled)).To(Equal(quarantine.Quarantined), "while the configuration says so")
-		Expect(table.Acquitted(d, []string{"a", "b", "c"}, settled)).To(BeTrue())
-		Expect(table.Acquitted(d, []string{"a", "b", "x"}, settled)).To(BeFalse(), "others know more")
-		table.Order(d, time.Time{})
-		Expect(table.Verdict(digest(2), settled).State).To(Equal(quarantine.Suspect))
+		Expect(table.Cleared(d, []string{"a", "b", "c"}, settled)).To(BeTrue())
+		Expect(table.Cleared(d, []string{"a", "b", "x"}, settled)).To(BeFalse(), "others know more")
+		table.QuarantineUntil(d, time.Time{})
+		Expect(table.Decision(digest(2), settled).State).To(Equal(quarantine.Suspect))
 		ends(table, d, "e", start.Add(5*time.Second))
 		Expect(state(start.Add(6*time.Second))).To(Equal(quarantine.Quarantined), "but for one that follows")
 	})
@@ -155,38 +155,38 @@
 	It("under which two servers ended together is kept from others for a short while", func() {
 		ends(table, d, "a", start)
 		ends(table, d, "b", start.Add(time.Second))
-		later := table.Verdict(d, start.Add(time.Second)).Until
+		later := table.Decision(d, start.Add(time.Second)).Until
 		Expect(later.Sub(start)).To(Equal(31 * time.Second))
-		Expect(table.Enter(d, later).State).To(Equal(quarantine.Suspect))
+		Expect(table.Admit(d, later).State).To(Equal(quarantine.Suspect))
 		ends(table, d, "c", later)
-		Expect(table.Verdict(d, later).Until.Sub(later)).To(Equal(24 * time.Hour))
+		Expect(table.Decision(d, later).Until.Sub(later)).To(Equal(24 * time.Hour))
 	})
 
 	It("isn't acquitted because its time is over: operators may have prolonged it", func() {
 		ends(table, d, "a", start)
 		ends(table, d, "b", start.Add(2*time.Second))
 		both := []string{"a", "b"}
-		Expect(table.Acquitted(d, both, start.Add(time.Minute))).To(BeFalse())
-		Expect(table.Acquitted(d, both, start.Add(time.Hour))).To(BeFalse())
-		table.Served(d)
-		Expect(table.Acquitted(d, both, start.Add(time.Hour))).To(BeTrue())
+		Expect(table.Cleared(d, both, start.Add(time.Minute))).To(BeFalse())
+		Expect(table.Cleared(d, both, start.Add(time.Hour))).To(BeFalse())
+		table.MarkServed(d)
+		Expect(table.Cleared(d, both, start.Add(time.Hour))).To(BeTrue())
 	})
 
 	It("is quarantined and released as the operators' configuration says", func() {
-		table.Order(d, start.Add(time.Minute))
+		table.QuarantineUntil(d, start.Add(time.Minute))
 		Expect(state(start)).To(Equal(quarantine.Quarantined))
-		Expect(state(start.Add(time.Minute))).To(Equal(quarantine.Sound))
+		Expect(state(start.Add(time.Minute))).To(Equal(quarantine.Healthy))
 		ends(table, d, "a", start)
 		ends(table, d, "b", start)
 		Expect(table.Quarantined(start)).To(HaveKey(d))
-		Expect(table.Release(d)).To(HaveLen(2))
-		Expect(state(start)).To(Equal(quarantine.Sound))
+		Expect(table.EndQuarantine(d)).To(HaveLen(2))
+		Expect(state(start)).To(Equal(quarantine.Healthy))
 		Expect(table.Quarantined(start)).To(BeEmpty())
 	})
 
 	It("is forgotten in the end, and the oldest first beyond a bound", func() {
 		ends(table, d, "a", start)
-		table.Enter(digest(2), start.Add(2*time.Hour))
+		table.Admit(digest(2), start.Add(2*time.Hour))
 		Expect(table.Hash()).To(BeZero())
 		const many = 5000
 		for i := range many {
@@ -194,8 +194,8 @@
 		}
 		evidence, _ := table.Since(0)
 		Expect(len(evidence)).To(And(BeNumerically("<=", 4096), BeNumerically(">=", 4096-4096/16)))
-		Expect(table.Verdict(digest(10), start.Add(2*time.Hour)).State).To(Equal(quarantine.Sound))
-		Expect(table.Verdict(digest(10+many-1), start.Add(2*time.Hour)).State).To(Equal(quarantine.Suspect))
+		Expect(table.Decision(digest(10), start.Add(2*time.Hour)).State).To(Equal(quarantine.Healthy))
+		Expect(table.Decision(digest(10+many-1), start.Add(2*time.Hour)).State).To(Equal(quarantine.Suspect))
 	})
 })
 
@@ -204,18 +204,18 @@
 	other := digest(1)
 	for i, server := range []string{"a", "b"} {
 		at := start.Add(time.Duration(i) * 2 * time.Second)
-		table.CutOff(other, quarantine.About{Customer: "other"}, server, at)
-		table.Ended(server, at)
+		table.ConnectionLost(other, quarantine.RequestInfo{Customer: "other"}, server, at)
+		table.MarkExited(server, at)
 	}
 	for i := range 9000 {
 		ends(table, digest(10+i), "s", start.Add(time.Duration(i)*time.Millisecond))
 	}
-	v := table.Verdict(other, start.Add(time.Minute))
+	v := table.Decision(other, start.Add(time.Minute))
 	Expect(v.State).To(Equal(quarantine.Quarantined))
-	Expect(v.About.Customer).To(Equal("other"))
+	Expect(v.Info.Customer).To(Equal("other"))
 	Expect(v.Since).To(Equal(start))
-	Expect(table.Verdict(digest(9009), start.Add(time.Minute)).About.Path).To(Equal("/x"))
-	Expect(quarantine.AboutRequest("c", "/"+strings.Repeat("x", 5000)).Path).To(HaveLen(200))
+	Expect(table.Decision(digest(9009), start.Add(time.Minute)).Info.Path).To(Equal("/x"))
+	Expect(quarantine.NewRequestInfo("c", "/"+strings.Repeat("x", 5000)).Path).To(HaveLen(200))
 })
 
 // Tables that hear all of each other's evidence agree, in whatever order and however
@@ -244,7 +244,7 @@
 					pool = append(pool, e)
 				}
 			case 2:
-				pool = append(pool, table.Served(d)...)
+				pool = append(pool, table.MarkServed(d)...)
 			case 3:
 				if len(pool) > 0 {
 					table.Merge(pool[:rapid.IntRange(1, len(pool)).Draw(t, "heard")], now)
@@ -265,7 +265,7 @@
 				t.Fatalf("tables differ")
 			}
 			for n := range requests {
-				a, b := all[0].Verdict(digest(n), now), table.Verdict(digest(n), now)
+				a, b := all[0].Decision(digest(n), now), table.Decision(digest(n), now)
 				if fmt.Sprint(a.Servers) != fmt.Sprint(b.Servers) {
 					t.Fatalf("request %d: %v and %v", n, a.Servers, b.Servers)
 				}
--- a/internal/quarantine/verdict.go
+++ b/internal/quarantine/verdict.go
@@ -40,12 +40,12 @@
 // The states.
 const (
 	// Sound requests have run to no server's end, as far as is known.
-	Sound State = iota
+	Healthy State = iota
 	// Suspect requests were in progress where a server ended: they run one at a time.
 	Suspect
 	// Undecided requests wait: it isn't known yet whether a second server ended, or
 	// another attempt of a suspect one is in progress.
-	Undecided
+	Pending
 	// Quarantined requests get no server.
 	Quarantined
 )
@@ -56,9 +56,9 @@
 }
 
 // Verdict is what is held of a request, and why.
-type Verdict struct {
+type Decision struct {
 	State State
-	About About
+	Info  RequestInfo
 	// Since is when the first server ended that counts.
 	Since time.Time
 	// Servers are those that ended under the request, sorted.
@@ -66,15 +66,15 @@
 	// Until is when a quarantine ends.
 	Until time.Time
 	// FoundHere counts the ends that this daemon saw itself.
-	FoundHere int
+	LocalExits int
 }
 
-func (t *Table) verdict(d Digest, r *request, now time.Time) Verdict {
-	v := Verdict{About: r.about, Servers: r.endedServers()}
+func (t *Table) decide(d Digest, r *request, now time.Time) Decision {
+	v := Decision{Info: r.about, Servers: r.endedServers()}
 	for _, server := range v.Servers {
 		e := r.ends[server]
 		if e.own {
-			v.FoundHere++
+			v.LocalExits++
 		}
 		if v.Since.IsZero() || e.at.Before(v.Since) {
 			v.Since = e.at
@@ -108,15 +108,15 @@
 	}
 	switch {
 	case ended == endsToQuarantine && now.Sub(r.newestLearned()) < SettleTime:
-		return Undecided
+		return Pending
 	case now.Before(r.quarantinedUntil(ended)) && (ended > endsToQuarantine || !t.shared(d, servers)):
 		return Quarantined
 	case undecided > 0 && ended+undecided >= endsToQuarantine:
-		return Undecided
+		return Pending
 	case ended+undecided > 0:
 		return Suspect
 	default:
-		return Sound
+		return Healthy
 	}
 }
 
--- a/internal/quota/quota.go
+++ b/internal/quota/quota.go
@@ -18,7 +18,7 @@
 )
 
 // Equal is a daemon's part of a bound among so many that are known.
-func Equal(bound float64, known int) float64 {
+func PerDaemon(bound float64, known int) float64 {
 	return bound / (float64(max(known, 1)) * (1 + spare))
 }
 
@@ -36,16 +36,16 @@
 }
 
 // Same tells whether others are the same daemons.
-func (d Daemons) Same(other Daemons) bool {
+func (d Daemons) Equal(other Daemons) bool {
 	return d.self == other.self && slices.Equal(d.all, other.all)
 }
 
 // Whole is this daemon's part, in whole numbers, of a bound on something that is named. Where
 // there isn't one for each daemon, those get one that come first by a hash of both names: all
 // that know the same daemons agree which these are.
-func (d Daemons) Whole(bound int, name string) int {
+func (d Daemons) Quota(bound int, name string) int {
 	divided := used * float64(bound)
-	if part := int(Equal(divided, len(d.all))); part > 0 {
+	if part := int(PerDaemon(divided, len(d.all))); part > 0 {
 		return part
 	}
 	own, before := rank(d.self, name), 0
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -32,7 +32,7 @@
 					known = append(known, other)
 				}
 			}
-			sum += NewDaemons(self, known).Whole(bound, "i-1")
+			sum += NewDaemons(self, known).Quota(bound, "i-1")
 		}
 		if sum > bound {
 			t.Fatalf("%d of %d", sum, bound)
--- a/internal/ratelimit/fuzz_test.go
+++ b/internal/ratelimit/fuzz_test.go
@@ -30,9 +30,9 @@
 		}
 		now := time.Unix(5000, 0)
 		table := New(1, func() float64 { return 0.5 })
-		table.Heard("s", Word{Named: true, PerSecond: 1, Asked: now, Heard: now})
+		table.UpdateLimit("s", Limit{Present: true, PerSecond: 1, RequestedAt: now, ReceivedAt: now})
 		for range 2 { // what it counts is a difference
-			table.Hear("peer", &news, now)
+			table.Receive("peer", &news, now)
 			for _, limit := range news.GetLimits() {
 				limit.Sent, limit.Refused = math.MaxInt64, math.MaxInt64
 			}
@@ -40,7 +40,7 @@
 		// Half of the limit is another's that fell silent; nothing is below one in 30 s.
 		seconds := (mostDebt + 3*leastBurst) / (leastRate * safety * 0.5)
 		longest := time.Duration(seconds * float64(time.Second))
-		if left := table.Left("s", Want{}, now); left < 0 || left > longest {
+		if left := table.Wait("s", Request{}, now); left < 0 || left > longest {
 			t.Fatalf("it gets nothing for %v", left)
 		}
 	})
--- a/internal/ratelimit/limit.go
+++ b/internal/ratelimit/limit.go
@@ -3,18 +3,18 @@
 import "time"
 
 // Limit is what is known of a server's limit.
-type Limit struct {
+type Status struct {
 	// PerSecond is what the server named, Age how long ago.
 	PerSecond float64
 	Age       time.Duration
 	// Rate is what daemons send it now, Tokens what this one's bucket holds.
 	Rate, Tokens float64
 	// Part is the part of limits that the daemons in touch use.
-	Part float64
+	Share float64
 }
 
 // Limit returns what is known of a server's limit, or nil.
-func (t *Table) Limit(key string, now time.Time) *Limit {
+func (t *Table) Status(key string, now time.Time) *Status {
 	if !t.Any() {
 		return nil
 	}
@@ -26,12 +26,12 @@
 	}
 	part, heard := t.peers.part(now)
 	s.bucket.fill(s.rate(part), spread(heard), now)
-	return &Limit{PerSecond: s.word.PerSecond, Age: now.Sub(s.word.Heard), Rate: s.rate(part), Tokens: s.bucket.tokens, Part: part}
+	return &Status{PerSecond: s.word.PerSecond, Age: now.Sub(s.word.ReceivedAt), Rate: s.rate(part), Tokens: s.bucket.tokens, Share: part}
 }
 
 // Part returns which part of limits this daemon and those that it hears use, and how many they
 // are.
-func (t *Table) Part(now time.Time) (part float64, heard int) {
+func (t *Table) Share(now time.Time) (part float64, heard int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.peers.part(now)
--- a/internal/ratelimit/news.go
+++ b/internal/ratelimit/news.go
@@ -25,14 +25,14 @@
 func (t *Table) Changed() <-chan struct{} { return t.changed }
 
 // Refresh is the time after which State is told.
-func (t *Table) Refresh() time.Duration {
+func (t *Table) RefreshInterval() time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.peers.refresh()
 }
 
 // News returns what has changed since it was called last.
-func (t *Table) News(now time.Time) []*peerrpc.LimitNews {
+func (t *Table) Updates(now time.Time) []*peerrpc.LimitNews {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var limits []*peerrpc.ServerLimit
@@ -48,12 +48,12 @@
 // State returns what is told again: what was told once since the last time, and what has not
 // been told for long. While a limit is in force it's never nothing, since daemons that tell
 // nothing are taken for cut off.
-func (t *Table) State(now time.Time) []*peerrpc.LimitNews {
+func (t *Table) RefreshMessages(now time.Time) []*peerrpc.LimitNews {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var limits []*peerrpc.ServerLimit
 	for key, s := range t.servers {
-		inForce := s.word.Named || now.Sub(s.word.Heard) <= tellEnded
+		inForce := s.word.Present || now.Sub(s.word.ReceivedAt) <= tellEnded
 		if inForce && (s.toldOnce || now.Sub(s.toldAt) >= tellAgain) {
 			limits = append(limits, t.encode(s, key, now))
 			s.toldOnce = false
@@ -66,7 +66,9 @@
 }
 
 // Farewell is what is told when this process sends nothing more to servers.
-func (t *Table) Farewell() *peerrpc.LimitNews { return &peerrpc.LimitNews{Sender: t.id, Leaving: true} }
+func (t *Table) DepartureMessage() *peerrpc.LimitNews {
+	return &peerrpc.LimitNews{Sender: t.id, Leaving: true}
+}
 
 func (t *Table) messages(limits []*peerrpc.ServerLimit, now time.Time) []*peerrpc.LimitNews {
 	var messages []*peerrpc.LimitNews
@@ -83,15 +85,15 @@
 	s.bucket.fill(s.rate(part), spread(heard), now)
 	s.toldAt = now
 	return &peerrpc.ServerLimit{
-		Server: key, Named: s.word.Named, PerSecond: s.word.PerSecond,
-		AskedAgeMs: now.Sub(s.word.Asked).Milliseconds() + 1, HeardAgeMs: now.Sub(s.word.Heard).Milliseconds(),
+		Server: key, Named: s.word.Present, PerSecond: s.word.PerSecond,
+		AskedAgeMs: now.Sub(s.word.RequestedAt).Milliseconds() + 1, HeardAgeMs: now.Sub(s.word.ReceivedAt).Milliseconds(),
 		Sent: s.own.sent, Refused: s.own.refused, Customer: s.last, Tokens: s.bucket.tokens,
 	}
 }
 
 // Met takes in when another daemon was heard in another way than by its messages: it may send
 // to servers.
-func (t *Table) Met(address string, at time.Time) {
+func (t *Table) MarkPeerSeen(address string, at time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	known := t.peers.at(address)
@@ -99,14 +101,14 @@
 }
 
 // News of a limit.
-type News struct {
-	Server string
-	Limit  Word
-	Before Word
+type Change struct {
+	Server   string
+	Limit    Limit
+	Previous Limit
 }
 
 // Hear takes in another daemon's message. It returns the limits that changed by it.
-func (t *Table) Hear(address string, news *peerrpc.LimitNews, now time.Time) []News {
+func (t *Table) Receive(address string, news *peerrpc.LimitNews, now time.Time) []Change {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if news.GetSender() == t.id || news.GetSender() == 0 {
@@ -125,7 +127,7 @@
 	if other.left != news.GetSender() {
 		other.left = 0 // its next process
 	}
-	var changed []News
+	var changed []Change
 	for _, limit := range news.GetLimits() {
 		if n, is := t.hearLimit(news.GetSender(), limit, silent, now); is {
 			changed = append(changed, n)
@@ -135,21 +137,21 @@
 }
 
 // hearLimit takes in what another daemon, which was silent before or not, tells of one limit.
-func (t *Table) hearLimit(sender uint64, limit *peerrpc.ServerLimit, silent bool, now time.Time) (news News, changed bool) {
+func (t *Table) hearLimit(sender uint64, limit *peerrpc.ServerLimit, silent bool, now time.Time) (news Change, changed bool) {
 	if math.IsNaN(limit.GetPerSecond()) || limit.GetPerSecond() < 0 || limit.GetServer() == "" {
-		return News{}, false
+		return Change{}, false
 	}
-	word := Word{
-		Named: limit.GetNamed(), PerSecond: limit.GetPerSecond(),
-		Asked: now.Add(-age(limit.GetAskedAgeMs()) - transit), Heard: now.Add(-age(limit.GetHeardAgeMs())),
+	word := Limit{
+		Present: limit.GetNamed(), PerSecond: limit.GetPerSecond(),
+		RequestedAt: now.Add(-age(limit.GetAskedAgeMs()) - transit), ReceivedAt: now.Add(-age(limit.GetHeardAgeMs())),
 	}
-	before, changed := t.take(limit.GetServer(), word, now)
+	before, changed := t.updateLimit(limit.GetServer(), word, now)
 	s := t.servers[limit.GetServer()]
 	if s == nil {
-		return News{}, false
+		return Change{}, false
 	}
 	t.hearCounts(s, sender, limit, silent, now)
-	return News{Server: limit.GetServer(), Limit: s.word, Before: before}, changed
+	return Change{Server: limit.GetServer(), Limit: s.word, Previous: before}, changed
 }
 
 // hearCounts takes in what another daemon has done. What it did before it was heard first
@@ -158,7 +160,7 @@
 	known, heardBefore := s.told[sender]
 	newest := counts{sent: max(limit.GetSent(), known.sent), refused: max(limit.GetRefused(), known.refused)}
 	s.told[sender] = heardCounts{counts: newest, at: now}
-	if !s.word.Named {
+	if !s.word.Present {
 		return
 	}
 	part, heard := t.peers.part(now)
--- a/internal/ratelimit/peers.go
+++ b/internal/ratelimit/peers.go
@@ -73,7 +73,7 @@
 
 // CutAdds is what a cut adds to what a server with a limit gets, once and at most: what the other
 // side sends until it's noticed that it's silent, and what its bucket held.
-func CutAdds(limit float64) (noticed time.Duration, most float64) {
+func PartitionExcess(limit float64) (noticed time.Duration, most float64) {
 	noticed = silentRefreshes*refreshLeast + silentSlack
 	return noticed, limit*(noticed+burstTime).Seconds() + leastBurst + mostSpread/2
 }
--- a/internal/ratelimit/table.go
+++ b/internal/ratelimit/table.go
@@ -31,16 +31,16 @@
 )
 
 // Want is a request that a server may get.
-type Want struct {
+type Request struct {
 	Customer string
 	// Behind is how many ranks of priority it's less urgent than others.
-	Behind int
+	PriorityGap int
 	// Repeated is set when its caller was refused before.
-	Repeated bool
+	Retry bool
 }
 
 // customer is the name under which the request's customer is told to other daemons.
-func (w Want) customer() uint64 { return xxhash.Sum64String(w.Customer) }
+func (w Request) customer() uint64 { return xxhash.Sum64String(w.Customer) }
 
 // Table holds the limits that servers have named, by the server's start. Its lock is a
 // leaf. Safe for concurrent use.
@@ -61,7 +61,7 @@
 
 // server is one that has named a limit.
 type server struct {
-	word   Word
+	word   Limit
 	bucket bucket
 	// wait is how many tokens more than one there have to be for this daemon now.
 	wait float64
@@ -100,28 +100,28 @@
 }
 
 // Limited is how many servers have a limit.
-func (t *Table) Limited() int { return int(t.limited.Load()) }
+func (t *Table) LimitedServers() int { return int(t.limited.Load()) }
 
 // Any tells whether a server has a limit.
-func (t *Table) Any() bool { return t.Limited() > 0 }
+func (t *Table) Any() bool { return t.LimitedServers() > 0 }
 
 // Heard takes in what a server said. It returns what it had said, and whether this is
 // another limit.
-func (t *Table) Heard(key string, word Word) (before Word, changed bool) {
-	if !word.Named && !t.Any() {
-		return Word{}, false
+func (t *Table) UpdateLimit(key string, word Limit) (before Limit, changed bool) {
+	if !word.Present && !t.Any() {
+		return Limit{}, false
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.take(key, word, word.Heard)
+	return t.updateLimit(key, word, word.ReceivedAt)
 }
 
 // take takes in a word. The lock is held.
-func (t *Table) take(key string, word Word, now time.Time) (before Word, changed bool) {
+func (t *Table) updateLimit(key string, word Limit, now time.Time) (before Limit, changed bool) {
 	s := t.servers[key]
 	if s == nil {
-		if !word.Named {
-			return Word{}, false
+		if !word.Present {
+			return Limit{}, false
 		}
 		s = &server{told: map[uint64]heardCounts{}, turns: turns{customers: map[uint64]*turn{}}}
 		t.servers[key] = s
@@ -132,10 +132,10 @@
 		return before, false
 	}
 	switch {
-	case !s.word.Named:
+	case !s.word.Present:
 		t.limited.Add(-1)
 		s.waiting = 0
-	case !before.Named:
+	case !before.Present:
 		t.began(now)
 		s.bucket = bucket{at: now, tokens: -onTheirWay}
 		s.draw(t)
@@ -179,15 +179,15 @@
 }
 
 // left is how long a server may not be sent a request; 0 if it may now.
-func (t *Table) left(s *server, want Want, now time.Time) time.Duration {
+func (t *Table) left(s *server, want Request, now time.Time) time.Duration {
 	part, heard := t.peers.part(now)
 	rate := s.rate(part)
 	s.bucket.fill(rate, spread(heard), now)
-	needs := 1 + s.wait + behindMargin*float64(min(max(want.Behind, 0), mostBehind))
+	needs := 1 + s.wait + behindMargin*float64(min(max(want.PriorityGap, 0), mostBehind))
 	if s.turns.ahead(want.customer(), rate, now) {
 		needs += aheadMargin
 	}
-	if !want.Repeated && s.waitingNow(rate, now) >= 1 {
+	if !want.Retry && s.waitingNow(rate, now) >= 1 {
 		needs += freshMargin
 	}
 	return s.bucket.untilHolds(needs, rate)
@@ -195,14 +195,14 @@
 
 // limitedServer returns a server with a limit, or nil. The lock is held.
 func (t *Table) limitedServer(key string) *server {
-	if s := t.servers[key]; s != nil && s.word.Named {
+	if s := t.servers[key]; s != nil && s.word.Present {
 		return s
 	}
 	return nil
 }
 
 // Left returns for how long a server may not get a request, by its limit; 0 if it may now.
-func (t *Table) Left(key string, want Want, now time.Time) time.Duration {
+func (t *Table) Wait(key string, want Request, now time.Time) time.Duration {
 	if !t.Any() {
 		return 0
 	}
@@ -217,7 +217,7 @@
 
 // Next returns how long it is until a server takes a request, whoever's; 0 if it does now or
 // has no limit.
-func (t *Table) Next(key string, now time.Time) time.Duration {
+func (t *Table) UntilAvailable(key string, now time.Time) time.Duration {
 	if !t.Any() {
 		return 0
 	}
@@ -235,7 +235,7 @@
 
 // Take is asked just before a request's first bytes go to a server. It returns 0 when they
 // may, and the request counts, or else for how long they may not.
-func (t *Table) Take(key string, want Want, now time.Time) time.Duration {
+func (t *Table) Acquire(key string, want Request, now time.Time) time.Duration {
 	if !t.Any() {
 		return 0
 	}
@@ -266,7 +266,7 @@
 }
 
 // Woke is called after the VM was suspended: what was sent meanwhile isn't known.
-func (t *Table) Woke(now time.Time) {
+func (t *Table) Resumed(now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, s := range t.servers {
@@ -276,16 +276,16 @@
 }
 
 // Keep forgets servers that aren't registered and said nothing for long.
-func (t *Table) Keep(registered func(key string) bool, now time.Time) {
+func (t *Table) Prune(registered func(key string) bool, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for key, s := range t.servers {
-		if registered(key) || now.Sub(s.word.Heard) <= keepWord {
+		if registered(key) || now.Sub(s.word.ReceivedAt) <= keepWord {
 			s.turns.forget(s.rate(1), now)
 			maps.DeleteFunc(s.told, func(_ uint64, c heardCounts) bool { return now.Sub(c.at) > keepWord })
 			continue
 		}
-		if s.word.Named {
+		if s.word.Present {
 			t.limited.Add(-1)
 		}
 		delete(t.servers, key)
--- a/internal/ratelimit/waiting.go
+++ b/internal/ratelimit/waiting.go
@@ -20,7 +20,7 @@
 // Refuse notes that a caller is refused because none of some servers may get its request,
 // and returns when it should come back: when the first of them may, after those that were
 // told before it. 0 when none of them has a limit.
-func (t *Table) Refuse(keys []string, want Want, now time.Time) time.Duration {
+func (t *Table) RecordRefusal(keys []string, want Request, now time.Time) time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	part, _ := t.peers.part(now)
--- a/internal/ratelimit/word.go
+++ b/internal/ratelimit/word.go
@@ -3,36 +3,36 @@
 import "time"
 
 // Word is what a server has said of its limit in one answer.
-type Word struct {
+type Limit struct {
 	// Named is set when the answer named a limit: requests a second from all VMs
 	// together. Without it, it said that there is none.
-	Named     bool
+	Present   bool
 	PerSecond float64
 	// Asked is when the request was sent, Heard when the answer came: the server spoke
 	// somewhere in between.
-	Asked, Heard time.Time
+	RequestedAt, ReceivedAt time.Time
 }
 
 // allowsLess tells whether a word allows less than another.
-func (w Word) allowsLess(other Word) bool {
-	return w.Named && (!other.Named || w.PerSecond < other.PerSecond)
+func (w Limit) allowsLess(other Limit) bool {
+	return w.Present && (!other.Present || w.PerSecond < other.PerSecond)
 }
 
 // same tells whether two words say the same.
-func (w Word) same(other Word) bool {
-	return w.Named == other.Named && (!w.Named || w.PerSecond == other.PerSecond)
+func (w Limit) same(other Limit) bool {
+	return w.Present == other.Present && (!w.Present || w.PerSecond == other.PerSecond)
 }
 
 // after returns what holds after a word came when another held. Answers overtake each other:
 // only one to a request that was sent after the other answer had come is later for certain.
-func (w Word) after(before Word) Word {
+func (w Limit) after(before Limit) Limit {
 	switch {
-	case w.Asked.After(before.Heard):
+	case w.RequestedAt.After(before.ReceivedAt):
 		return w
-	case w.Heard.Before(before.Asked):
+	case w.ReceivedAt.Before(before.RequestedAt):
 		return before
 	case w.same(before) || w.allowsLess(before):
-		w.Asked, w.Heard = latest(w.Asked, before.Asked), latest(w.Heard, before.Heard)
+		w.RequestedAt, w.ReceivedAt = latest(w.RequestedAt, before.RequestedAt), latest(w.ReceivedAt, before.ReceivedAt)
 		return w
 	default:
 		return before
--- a/internal/ratelimit/word_test.go
+++ b/internal/ratelimit/word_test.go
@@ -20,7 +20,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		type said struct {
 			spoke time.Time
-			word  Word
+			word  Limit
 		}
 		start := time.Unix(7000, 0)
 		var all []said
@@ -28,15 +28,15 @@
 			asked := start.Add(time.Duration(rapid.IntRange(0, 1000).Draw(t, "asked")) * time.Millisecond)
 			spoke := asked.Add(time.Duration(rapid.IntRange(0, 100).Draw(t, "way there")) * time.Millisecond)
 			heard := spoke.Add(time.Duration(rapid.IntRange(0, 100).Draw(t, "way back")) * time.Millisecond)
-			all = append(all, said{spoke: spoke, word: Word{Asked: asked, Heard: heard}})
+			all = append(all, said{spoke: spoke, word: Limit{RequestedAt: asked, ReceivedAt: heard}})
 		}
 		// The server names its limit at one time, and ends it at another.
 		named, ended := rapid.IntRange(0, 1100).Draw(t, "named"), rapid.IntRange(0, 1100).Draw(t, "ended")
 		for i := range all {
 			at := int(all[i].spoke.Sub(start).Milliseconds())
-			all[i].word.Named = at >= named && at < ended
+			all[i].word.Present = at >= named && at < ended
 		}
-		var holds Word
+		var holds Limit
 		last := all[0]
 		for _, s := range all {
 			holds = s.word.after(holds)
@@ -46,12 +46,12 @@
 		}
 		newest := true // nothing else overlaps what was said last
 		for _, s := range all {
-			newest = newest && (s == last || s.word.Heard.Before(last.word.Asked))
+			newest = newest && (s == last || s.word.ReceivedAt.Before(last.word.RequestedAt))
 		}
-		if newest && holds.Named != last.word.Named {
+		if newest && holds.Present != last.word.Present {
 			t.Fatalf("said last: %+v, holds: %+v", last.word, holds)
 		}
-		if last.word.Named && !holds.Named {
+		if last.word.Present && !holds.Present {
 			t.Fatalf("named last, by %+v, and held for ended: %+v", last.word, holds)
 		}
 	})
--- a/internal/replica/follow.go
+++ b/internal/replica/follow.go
@@ -91,7 +91,7 @@
 
 // followOnce reads once from a source. It returns how long ago the log was heard of there.
 func (r *Replica) followOnce(ctx context.Context, source Source, log *logrus.Entry) (time.Duration, error) {
-	wait := r.silence.Bound(r.wait, r.now())
+	wait := r.silence.MaxWait(r.wait, r.now())
 	timeout := wait + readTimeout
 	if !r.Heard() {
 		wait, timeout = firstWait, firstTimeout
@@ -122,11 +122,11 @@
 	}
 	batch, err := source.Records(ctx, r.Position(), wait)
 	if err != nil {
-		r.silence.Raise(r.now())
+		r.silence.Revoke(r.now())
 		return 0, err
 	}
 	if batch.Gone {
-		r.silence.Raise(r.now())
+		r.silence.Revoke(r.now())
 		return batch.LogAge, r.heal(ctx, source, log)
 	}
 	return batch.LogAge, r.Fold(batch)
--- a/internal/replica/replica.go
+++ b/internal/replica/replica.go
@@ -54,7 +54,7 @@
 	confirmed time.Time // when the end of the log was last heard of
 	now       func() time.Time
 	wait      time.Duration // of one read for new records
-	silence   longpoll.Doubt
+	silence   longpoll.Trust
 	behind    chan struct{} // ends a read that is silent about what a peer knows
 	reread    chan struct{} // ends a read that may hang, and goes back to the first source
 
@@ -159,7 +159,7 @@
 		if next <= r.Next() {
 			return
 		}
-		r.silence.Raise(r.now())
+		r.silence.Revoke(r.now())
 		select {
 		case r.behind <- struct{}{}:
 		default: // it's about to end
--- a/internal/replica/replica_test.go
+++ b/internal/replica/replica_test.go
@@ -111,7 +111,7 @@
 			Expect(step()).To(Equal(28 * time.Second))
 			source.down.Store(false)
 			source.absent = false
-			Expect(step()).To(Equal(longpoll.DoubtWait))
+			Expect(step()).To(Equal(longpoll.UntrustedWait))
 			now = now.Add(time.Minute)
 			Expect(step()).To(Equal(28 * time.Second))
 		}
--- a/internal/routing/health.go
+++ b/internal/routing/health.go
@@ -34,7 +34,9 @@
 type NoticeFilter struct{}
 
 // Allow implements Filter.
-func (NoticeFilter) Allow(now time.Time, row *ServerState) bool { return row.Notice.Bar(now) == nil }
+func (NoticeFilter) Allow(now time.Time, row *ServerState) bool {
+	return row.Notice.Exclusion(now) == nil
+}
 
 // OutlierFilter leaves out servers that are ejected for their errors. It's not
 // applied when it would leave out all.
--- a/internal/routing/table.go
+++ b/internal/routing/table.go
@@ -62,7 +62,7 @@
 	Errors       int
 	EjectedUntil time.Time
 	// Notice is what the server has said of itself through its agent's present run.
-	Notice eligibility.Notice
+	Notice eligibility.Report
 	// slow is the smoothed ratio of the server's service time to its peers'.
 	slow float64
 }
@@ -162,7 +162,7 @@
 		return
 	}
 	if row.Incarnation != incarnation {
-		row.Notice = eligibility.Notice{}
+		row.Notice = eligibility.Report{}
 	}
 	sameLeaving := row.Health == HealthLeaving && row.Incarnation == incarnation
 	row.Incarnation = incarnation
--- a/internal/upstream/probe.go
+++ b/internal/upstream/probe.go
@@ -27,7 +27,7 @@
 		return crash.Listening
 	}
 	if errors.Is(err, syscall.ECONNREFUSED) {
-		return crash.Ended
+		return crash.Exited
 	}
 	return crash.Unknown
 }
--- a/internal/upstream/sendcheck_test.go
+++ b/internal/upstream/sendcheck_test.go
@@ -48,7 +48,9 @@
 		return sendErr
 	}
 	granted := func() error { return nil }
-	refused := func() error { return &eligibility.BarredError{Bar: &eligibility.Bar{Reason: eligibility.Leaving}} }
+	refused := func() error {
+		return &eligibility.ExcludedError{Exclusion: &eligibility.Exclusion{Reason: eligibility.Leaving}}
+	}
 
 	It("is asked once a connection is there, on a new and on a kept one", func() {
 		asked := 0
@@ -66,7 +68,7 @@
 		sendErr := sendWith(body, refused)
 		Expect(sendErr).NotTo(BeNil())
 		Expect(sendErr.Sent).To(BeFalse())
-		var bar *eligibility.BarredError
+		var bar *eligibility.ExcludedError
 		Expect(errors.As(sendErr, &bar)).To(BeTrue())
 		Expect(sendWith("x", granted)).To(BeNil(), "the next request isn't held to it")
 		Expect(requests.Load()).To(Equal(int64(1)))
--- a/internal/upstream/upstream.go
+++ b/internal/upstream/upstream.go
@@ -128,7 +128,7 @@
 	p.DialContext = func(ctx context.Context, network, address string) (net.Conn, error) {
 		if most := p.most.Load(); p.open.Add(1) > most && most > 0 {
 			p.open.Add(-1)
-			return nil, &eligibility.BarredError{Bar: &eligibility.Bar{Reason: eligibility.Full}}
+			return nil, &eligibility.ExcludedError{Exclusion: &eligibility.Exclusion{Reason: eligibility.Full}}
 		}
 		conn, err := dial(ctx, network, address)
 		if err != nil {
--- a/standins/bench/admission.go
+++ b/standins/bench/admission.go
@@ -113,8 +113,8 @@
 		} else {
 			s.finish(e.done)
 		}
-		s.queue.Expired(s.now)
-		for _, request := range s.queue.Next(s.now) {
+		s.queue.TakeRefusals(s.now)
+		for _, request := range s.queue.Dispatch(s.now) {
 			s.begin(request)
 		}
 	}
@@ -265,7 +265,7 @@
 		for range b.N {
 			offer()
 			now = now.Add(time.Microsecond)
-			for _, request := range q.Next(now) {
+			for _, request := range q.Dispatch(now) {
 				q.Done(now.Add(time.Millisecond), request.ID, 20, true)
 			}
 		}
--- a/standins/bench/limits.go
+++ b/standins/bench/limits.go
@@ -73,7 +73,7 @@
 	for _, d := range s.Daemons {
 		d.Demand *= limitsJump
 	}
-	s.Limit = ratelimit.Word{Named: true, PerSecond: limitsJump * limitsPerSecond}
+	s.Limit = ratelimit.Limit{Present: true, PerSecond: limitsJump * limitsPerSecond}
 	for began := s.Now; ; {
 		from := s.Now
 		s.Run(look)
--- a/standins/bench/quarantine.go
+++ b/standins/bench/quarantine.go
@@ -35,8 +35,8 @@
 	now := time.Now()
 	for i := range 5000 {
 		d := quarantine.DigestOf("c", "POST", "h", "/", fmt.Append(nil, i))
-		t.CutOff(d, quarantine.About{}, "s", now)
-		t.Ended("s", now)
+		t.ConnectionLost(d, quarantine.RequestInfo{}, "s", now)
+		t.MarkExited("s", now)
 	}
 	return t
 }
@@ -50,9 +50,9 @@
 				continue
 			}
 			d := quarantine.DigestOf("c", "POST", "h", "/", body)
-			t.Enter(d, now)
-			t.Leave(d)
-			t.Served(d)
+			t.Admit(d, now)
+			t.Release(d)
+			t.MarkServed(d)
 		}
 	})
 	return float64(result.NsPerOp())
@@ -106,15 +106,15 @@
 			without++
 			freeAt = now.Add(groupAway)
 		}
-		if state := table.Enter(d, now).State; !now.Before(openAt) && (state == quarantine.Sound || state == quarantine.Suspect) {
+		if state := table.Admit(d, now).State; !now.Before(openAt) && (state == quarantine.Healthy || state == quarantine.Suspect) {
 			ended++
 			openAt = now.Add(groupAway)
 			news = append(news, endRank(tables, table, d, fmt.Sprint("r", random.IntN(ranks), "-", ended), ended, now))
-			table.Leave(d)
+			table.Release(d)
 		}
 		for beside := range playedBeside { // those that ran at the last rank come again
 			sound++
-			if table.Verdict(soundDigest(ended, beside), now).State == quarantine.Quarantined {
+			if table.Decision(soundDigest(ended, beside), now).State == quarantine.Quarantined {
 				held++
 			}
 		}
@@ -131,13 +131,13 @@
 
 // endRank cuts off what runs at a rank: a guilty request at one entry, sound ones at all.
 func endRank(tables []*quarantine.Table, at *quarantine.Table, guilty quarantine.Digest, server string, end int, now time.Time) playedNews {
-	at.CutOff(guilty, quarantine.About{}, server, now)
+	at.ConnectionLost(guilty, quarantine.RequestInfo{}, server, now)
 	for beside := range playedBeside {
-		tables[beside%len(tables)].CutOff(soundDigest(end, beside), quarantine.About{}, server, now)
+		tables[beside%len(tables)].ConnectionLost(soundDigest(end, beside), quarantine.RequestInfo{}, server, now)
 	}
 	found := playedNews{at: now.Add(foundAfter + toldAfter)}
 	for _, table := range tables {
-		found.evidence = append(found.evidence, table.Ended(server, now.Add(foundAfter))...)
+		found.evidence = append(found.evidence, table.MarkExited(server, now.Add(foundAfter))...)
 	}
 	return found
 }
--- a/standins/limitsim/limitsim.go
+++ b/standins/limitsim/limitsim.go
@@ -63,7 +63,7 @@
 	Now     time.Time
 	Daemons []*Daemon
 	// Limit is what all servers name, ChangedAt when they named another last.
-	Limit     ratelimit.Word
+	Limit     ratelimit.Limit
 	ChangedAt time.Time
 	// Loss is the part of messages that is lost, Delay the longest that one takes.
 	Loss  float64
@@ -86,7 +86,7 @@
 func New(seed uint64, daemons, servers int, limit float64) *Sim {
 	s := &Sim{
 		Random: rand.New(rand.NewPCG(seed, 7)), Now: time.Unix(9000, 0), Delay: usualDelay,
-		Limit: ratelimit.Word{Named: true, PerSecond: limit}, Got: map[string]int{}, Sent: map[string][]time.Time{},
+		Limit: ratelimit.Limit{Present: true, PerSecond: limit}, Got: map[string]int{}, Sent: map[string][]time.Time{},
 		Customer: func(*rand.Rand) string { return "" },
 	}
 	for i := range servers {
@@ -113,7 +113,7 @@
 
 // Leave ends a daemon as planned.
 func (s *Sim) Leave(d *Daemon) {
-	s.send(slices.Index(s.Daemons, d), []*peerrpc.LimitNews{d.Table.Farewell()})
+	s.send(slices.Index(s.Daemons, d), []*peerrpc.LimitNews{d.Table.DepartureMessage()})
 	d.Gone = true
 }
 
@@ -136,7 +136,7 @@
 			}
 			if !daemon.FrozenUntil.IsZero() {
 				daemon.FrozenUntil = time.Time{}
-				daemon.Table.Woke(s.Now)
+				daemon.Table.Resumed(s.Now)
 			}
 			s.step(i, daemon)
 		}
@@ -151,7 +151,7 @@
 			kept = append(kept, m)
 			continue
 		}
-		d.Table.Hear(m.from, m.news, s.Now)
+		d.Table.Receive(m.from, m.news, s.Now)
 	}
 	d.inbox = kept
 	for due := d.Demand * Step.Seconds(); due > 0; due-- {
@@ -160,11 +160,11 @@
 		}
 	}
 	switch since := s.Now.Sub(d.told); {
-	case since >= d.Table.Refresh():
+	case since >= d.Table.RefreshInterval():
 		d.told = s.Now
-		s.send(i, d.Table.State(s.Now))
+		s.send(i, d.Table.RefreshMessages(s.Now))
 	case since >= tellPace:
-		if news := d.Table.News(s.Now); len(news) > 0 {
+		if news := d.Table.Updates(s.Now); len(news) > 0 {
 			s.send(i, news)
 		}
 	}
@@ -191,20 +191,20 @@
 
 // request sends one to a server if one takes it, and hears its word.
 func (s *Sim) request(d *Daemon) {
-	want := ratelimit.Want{Customer: s.Customer(s.Random)}
+	want := ratelimit.Request{Customer: s.Customer(s.Random)}
 	for range looks {
 		server := s.servers[s.Random.IntN(len(s.servers))]
-		if d.Table.Left(server, want, s.Now) > 0 || d.Table.Take(server, want, s.Now) > 0 {
+		if d.Table.Wait(server, want, s.Now) > 0 || d.Table.Acquire(server, want, s.Now) > 0 {
 			continue
 		}
 		s.Sent[server] = append(s.Sent[server], s.Now)
 		s.Got[want.Customer]++
 		word := s.Limit
-		word.Asked, word.Heard = s.Now.Add(-Step/2), s.Now
-		d.Table.Heard(server, word)
+		word.RequestedAt, word.ReceivedAt = s.Now.Add(-Step/2), s.Now
+		d.Table.UpdateLimit(server, word)
 		return
 	}
-	d.Table.Refuse([]string{s.servers[s.Random.IntN(len(s.servers))]}, want, s.Now)
+	d.Table.RecordRefusal([]string{s.servers[s.Random.IntN(len(s.servers))]}, want, s.Now)
 }
 
 // Since counts what was sent to all servers from a time on, and the most to one of them in a
@@ -265,7 +265,7 @@
 func (s *Sim) AddedByCuts(from time.Time) int {
 	added := 0.0
 	for _, at := range s.CutAt {
-		if noticed, most := ratelimit.CutAdds(s.Limit.PerSecond); at.After(from.Add(-noticed)) {
+		if noticed, most := ratelimit.PartitionExcess(s.Limit.PerSecond); at.After(from.Add(-noticed)) {
 			added += most
 		}
 	}
--- a/standins/limitsim/limitsim_test.go
+++ b/standins/limitsim/limitsim_test.go
@@ -96,13 +96,13 @@
 	for _, c := range []struct {
 		name        string
 		before      float64
-		after       ratelimit.Word
+		after       ratelimit.Limit
 		least, most float64
 	}{
-		{"ends", 1, ratelimit.Word{}, 0.8 * 4 * 8 * usualDemand, 4 * 8 * usualDemand * 1.1},
-		{"rises", 0.2, ratelimit.Word{Named: true, PerSecond: 10}, 0.8 * 4 * 10, float64(Allowed(10))},
-		{"falls", 40, ratelimit.Word{Named: true, PerSecond: 1}, 0.8 * 4, float64(Allowed(1) - 5)},
-		{"falls to none at all", 40, ratelimit.Word{Named: true}, 0, float64(Allowed(0) - 1)},
+		{"ends", 1, ratelimit.Limit{}, 0.8 * 4 * 8 * usualDemand, 4 * 8 * usualDemand * 1.1},
+		{"rises", 0.2, ratelimit.Limit{Present: true, PerSecond: 10}, 0.8 * 4 * 10, float64(Allowed(10))},
+		{"falls", 40, ratelimit.Limit{Present: true, PerSecond: 1}, 0.8 * 4, float64(Allowed(1) - 5)},
+		{"falls to none at all", 40, ratelimit.Limit{Present: true}, 0, float64(Allowed(0) - 1)},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			g := NewWithT(t)
@@ -127,7 +127,7 @@
 	s.Run(5 * time.Minute)
 	n, _ := s.Since(time.Time{})
 	g.Expect(n).To(BeNumerically("~", 10, 3), "one in 30 s: it could never say that it takes more")
-	s.Limit = ratelimit.Word{}
+	s.Limit = ratelimit.Limit{}
 	s.Run(40 * time.Second)
 	n, _ = s.Since(time.Time{})
 	g.Expect(n).To(BeNumerically(">", 100), "it has said so")
