--- a/internal/crash/codec.go
+++ b/internal/crash/codec.go
@@ -13,16 +13,16 @@
 	change int64
 }
 
-// Known says what this daemon knows, for a question to another at an address.
-func (w *Detector) Known(peer string) *peerrpc.CrashesKnown {
+// Digest says what this daemon knows, for a question to another at an address.
+func (w *Detector) Digest(peer string) *peerrpc.CrashesKnown {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	known := w.peers[peer]
 	return &peerrpc.CrashesKnown{Table: known.id, Change: known.change, Hash: w.table.Hash()}
 }
 
-// Tell answers such a question.
-func (w *Detector) Tell(known *peerrpc.CrashesKnown) *peerrpc.CrashNews {
+// Delta answers such a question.
+func (w *Detector) Delta(known *peerrpc.CrashesKnown) *peerrpc.CrashNews {
 	from := known.GetChange()
 	if known.GetTable() != w.tableID {
 		from = 0
@@ -34,8 +34,8 @@
 	return &peerrpc.CrashNews{Table: w.tableID, Change: change, Evidence: Encode(evidence, w.now())}
 }
 
-// Told takes in the answer of a daemon at an address.
-func (w *Detector) Told(peer string, news *peerrpc.CrashNews) {
+// Merge takes in the answer of a daemon at an address.
+func (w *Detector) Merge(peer string, news *peerrpc.CrashNews) {
 	if news == nil {
 		return // a daemon that keeps no table
 	}
--- a/internal/crash/detector_test.go
+++ b/internal/crash/detector_test.go
@@ -191,19 +191,19 @@
 		_, sent := newWorld()
 		watch.ConnectionLost(d, quarantine.RequestInfo{Customer: "c", Path: "/"}, plainA)
 		watch.MarkExited("a", "spec")
-		asked.Told("here", watch.Tell(asked.Known("here")))
+		asked.Merge("here", watch.Delta(asked.Digest("here")))
 		Expect(asked.Table().Decision(d, w.now).State).To(Equal(quarantine.Suspect))
 		watch.ConnectionLost(d, quarantine.RequestInfo{Customer: "c", Path: "/"}, plainB)
 		watch.MarkExited("b", "spec")
-		news := watch.Tell(asked.Known("here"))
+		news := watch.Delta(asked.Digest("here"))
 		Expect(news.GetEvidence()).To(HaveLen(1), "only what has changed")
-		asked.Told("here", news)
+		asked.Merge("here", news)
 		sent.MergeEvidence(Decode(Encode(told(), w.now), w.now), "spec")
 		for _, other := range []*Detector{asked, sent} {
 			other.now = func() time.Time { return w.now.Add(time.Second) }
 			Expect(other.Admit(d).State).To(Equal(quarantine.Quarantined))
 		}
-		Expect(watch.Tell(sent.Known("here")).GetEvidence()).To(BeEmpty(), "they agree")
+		Expect(watch.Delta(sent.Digest("here")).GetEvidence()).To(BeEmpty(), "they agree")
 	})
 })
 
--- a/internal/crash/gossip.go
+++ b/internal/crash/gossip.go
@@ -23,7 +23,7 @@
 // Tell implements peerrpc.Crashes.
 func (s RPCServer) Tell(_ context.Context, t *peerrpc.CrashTelling) (*peerrpc.CrashNews, error) {
 	s.Detector.MergeEvidence(Decode(t.GetEvidence(), s.Detector.now()), "another entry")
-	return s.Detector.Tell(t.GetKnown()), nil
+	return s.Detector.Delta(t.GetKnown()), nil
 }
 
 // Gossip tells the entries at some control addresses what this one finds out, at once, and
@@ -51,11 +51,11 @@
 	ctx, cancel := context.WithTimeout(ctx, gossipTimeout)
 	defer cancel()
 	news, err := peerrpc.NewCrashesProtobufClient("http://"+peer, client).Tell(ctx, &peerrpc.CrashTelling{
-		Known: w.Known(peer), Evidence: Encode(evidence, w.now()),
+		Known: w.Digest(peer), Evidence: Encode(evidence, w.now()),
 	})
 	if err != nil {
 		w.log.WithError(err).WithField("peer", peer).Debug("peer not reached")
 		return
 	}
-	w.Told(peer, news)
+	w.Merge(peer, news)
 }
--- a/internal/membership/exchange.go
+++ b/internal/membership/exchange.go
@@ -21,29 +21,29 @@
 	client  *http.Client
 	log     *logrus.Entry
 	// crashes, configuration and eras may be nil.
-	crashes       Crashes
-	configuration Configuration
+	crashes       CrashExchange
+	configuration ConfigReplica
 	eras          *storelog.Eras
 
 	mu    sync.Mutex
 	peers map[string]heardPeer
 }
 
-// Crashes is what daemons know of servers that ended under requests.
-type Crashes interface {
-	// Known is what this daemon asks one at an address, Tell its answer to such a
+// CrashExchange is what daemons know of servers that ended under requests.
+type CrashExchange interface {
+	// Digest is what this daemon asks one at an address, Tell its answer to such a
 	// question, and Told takes in the answer.
-	Known(peer string) *peerrpc.CrashesKnown
-	Tell(known *peerrpc.CrashesKnown) *peerrpc.CrashNews
-	Told(peer string, news *peerrpc.CrashNews)
+	Digest(peer string) *peerrpc.CrashesKnown
+	Delta(known *peerrpc.CrashesKnown) *peerrpc.CrashNews
+	Merge(peer string, news *peerrpc.CrashNews)
 }
 
-// Configuration is the product's own, which a daemon follows by itself.
-type Configuration interface {
+// ConfigReplica is the product's own, which a daemon follows by itself.
+type ConfigReplica interface {
 	// Next is the position after the last record that is known.
 	Next() storelog.Position
-	// PeerKnows takes in the same of another daemon.
-	PeerKnows(next storelog.Position)
+	// ObservePeerPosition takes in the same of another daemon.
+	ObservePeerPosition(next storelog.Position)
 }
 
 // Peer is a daemon: its control address, empty when it takes no calls, and its
@@ -72,11 +72,11 @@
 
 // SetCrashes makes the exchange carry news of servers that ended under requests. Call it
 // before the first exchange.
-func (e *Exchange) SetCrashes(crashes Crashes) { e.crashes = crashes }
+func (e *Exchange) SetCrashes(crashes CrashExchange) { e.crashes = crashes }
 
 // SetConfiguration makes the exchange tell how far the product's own configuration is known.
 // Call it before the first exchange.
-func (e *Exchange) SetConfiguration(c Configuration) { e.configuration = c }
+func (e *Exchange) SetConfiguration(c ConfigReplica) { e.configuration = c }
 
 // SetEras makes the exchange note the store's eras that other daemons have heard of. Call it
 // before the first exchange.
@@ -119,7 +119,7 @@
 		reply.Operators = operators
 	}
 	if e.crashes != nil && r.GetCrashes() != nil {
-		reply.Crashes = e.crashes.Tell(r.GetCrashes())
+		reply.Crashes = e.crashes.Delta(r.GetCrashes())
 	}
 	for id, left := range e.members.keptLapses() {
 		reply.Lapses = append(reply.Lapses, &peerrpc.Lapse{Key: id, RemainingMs: left.Milliseconds()})
@@ -152,17 +152,17 @@
 		ConfigurationVersion: proto.Int64(e.members.version()),
 	}
 	if e.crashes != nil {
-		request.Crashes = e.crashes.Known(peer)
+		request.Crashes = e.crashes.Digest(peer)
 	}
 	reply, err := peerrpc.NewMembershipProtobufClient("http://"+peer, e.client).Exchange(ctx, request)
 	if err != nil {
 		return err
 	}
 	if e.crashes != nil {
-		e.crashes.Told(peer, reply.GetCrashes())
+		e.crashes.Merge(peer, reply.GetCrashes())
 	}
 	if e.configuration != nil {
-		e.configuration.PeerKnows(storelog.At(reply.GetConfigurationEra(), reply.GetConfigurationNext()))
+		e.configuration.ObservePeerPosition(storelog.At(reply.GetConfigurationEra(), reply.GetConfigurationNext()))
 	}
 	e.takeIn(reply, asked, "peer "+peer)
 	e.heardOf(Peer{Control: peer, Zone: reply.GetZone()})
--- a/internal/membership/follow.go
+++ b/internal/membership/follow.go
@@ -57,8 +57,8 @@
 	Refresh(ctx context.Context, maxAge time.Duration) bool
 	// ReadsForZone tells whether this daemon is the reader and has others to read for.
 	ReadsForZone() bool
-	// ReadsItself tells whether this daemon is the reader, or has nobody who reads for it.
-	ReadsItself() bool
+	// ReadsDirectly tells whether this daemon is the reader, or has nobody who reads for it.
+	ReadsDirectly() bool
 }
 
 const (
--- a/internal/membership/reader.go
+++ b/internal/membership/reader.go
@@ -45,8 +45,8 @@
 	return reader == "" && shared
 }
 
-// ReadsItself implements ZoneReader.
-func (e *Exchange) ReadsItself() bool {
+// ReadsDirectly implements ZoneReader.
+func (e *Exchange) ReadsDirectly() bool {
 	reader, _ := e.reader()
 	return reader == ""
 }
--- a/internal/membership/silence.go
+++ b/internal/membership/silence.go
@@ -26,7 +26,7 @@
 // configPatience is how long the next read waits for a configuration. The others of a zone
 // hear from its reader, at each exchange, what a deaf read of their own misses.
 func (f *Follower) configPatience() time.Duration {
-	if f.zone != nil && !f.zone.ReadsItself() {
+	if f.zone != nil && !f.zone.ReadsDirectly() {
 		return configWait
 	}
 	return f.silence.MaxWait(readerConfigWait, f.members.now())
--- a/internal/replica/replica.go
+++ b/internal/replica/replica.go
@@ -149,9 +149,9 @@
 // Next is the position after the last record that is folded.
 func (r *Replica) Next() storelog.Position { return r.Position() + 1 }
 
-// PeerKnows takes in the position up to which a peer knows the log. A read that is still
+// ObservePeerPosition takes in the position up to which a peer knows the log. A read that is still
 // silent about it after a while is ended: the log may have left it deaf.
-func (r *Replica) PeerKnows(next storelog.Position) {
+func (r *Replica) ObservePeerPosition(next storelog.Position) {
 	if next <= r.Next() {
 		return
 	}
--- a/internal/replica/replica_test.go
+++ b/internal/replica/replica_test.go
@@ -122,9 +122,9 @@
 		r.SetWait(28 * time.Second)
 		deaf := &deafSource{&fakeSource{name: "log", from: upTo(1)}}
 		follow(r, deaf, &fakeSource{name: "peer", from: upTo(4)})
-		r.PeerKnows(2)
+		r.ObservePeerPosition(2)
 		Consistently(r.Position, 2*longpoll.PeerAheadGrace).Should(Equal(storelog.Position(1)), "it's known here too")
-		r.PeerKnows(5)
+		r.ObservePeerPosition(5)
 		Eventually(r.Position, "5s").Should(Equal(storelog.Position(4)))
 	})
 
