--- a/cmd/crowbridged/agent.go
+++ b/cmd/crowbridged/agent.go
@@ -222,5 +222,5 @@
 			others = append(others, source)
 		}
 	}
-	return append(replica.Spread(own, name), replica.Spread(others, name)...)
+	return append(replica.RotateByName(own, name), replica.RotateByName(others, name)...)
 }
--- a/cmd/crowbridged/entry.go
+++ b/cmd/crowbridged/entry.go
@@ -133,8 +133,8 @@
 	key := p.cmd.String("daemon-key")
 	store := platform.NewStore(p.cmd.String("store"), upstream.NewTransport())
 	daemon.WatchEra(store.Eras(), p.log)
-	store.Eras().OnNew(func(int64, int64) {
-		rep.Reread()
+	store.Eras().OnAdvance(func(int64, int64) {
+		rep.RestartRead()
 		e.VMListRestored()
 	})
 	log := platform.ConfigLog{Store: store, Now: time.Now}
@@ -154,7 +154,7 @@
 	p.run(e.PollAgents)
 	p.loop(func(ctx context.Context) { e.PollVMList(ctx, store) })
 	if readsLog(p.cmd, s) {
-		p.loop(func(ctx context.Context) { rep.Keep(ctx, log, p.log) })
+		p.loop(func(ctx context.Context) { rep.PersistSnapshots(ctx, log, p.log) })
 	}
 	awaitFirstNews(p.asked, p.cmd.Duration("config-timeout"), rep)
 	callers, err := p.listen("listen")
@@ -174,7 +174,7 @@
 	defer cancel()
 	ticker := time.NewTicker(poll)
 	defer ticker.Stop()
-	for !rep.View().Position.HasRecord() && !rep.Heard() {
+	for !rep.View().Position.HasRecord() && !rep.HasSynced() {
 		select {
 		case <-ticker.C:
 		case <-ctx.Done():
@@ -184,7 +184,7 @@
 }
 
 func controlHandler(key string, api *admin.Admin, rep *replica.Replica, log replica.Log, watch *crash.Detector) http.Handler {
-	peers := rpc.NewPeersServer(&replica.PeerServer{Replica: rep, Log: log, Seen: api.Seen})
+	peers := rpc.NewPeersServer(&replica.PeerServer{Replica: rep, Log: log, OnPeerPosition: api.Seen})
 	mux := http.NewServeMux()
 	mux.Handle(peers.PathPrefix(), daemon.RequireKey(key, peers))
 	crashes := peerrpc.NewCrashesServer(crash.RPCServer{Detector: watch})
--- a/internal/crash/detector_test.go
+++ b/internal/crash/detector_test.go
@@ -254,7 +254,7 @@
 	offset := storelog.Position(len(l.records))
 	l.records = append(l.records, data)
 	for _, rep := range l.replicas {
-		Expect(rep.Fold(replica.Batch{Entries: []config.LogEntry{{Position: offset, Data: data}}})).To(Succeed())
+		Expect(rep.Apply(replica.Batch{Entries: []config.LogEntry{{Position: offset, Data: data}}})).To(Succeed())
 	}
 	return offset, nil
 }
--- a/internal/entry/entry_suite_test.go
+++ b/internal/entry/entry_suite_test.go
@@ -71,7 +71,7 @@
 `, daemon.HashSecret(keyOfRozsa), daemon.HashSecret(keyOfTulipan))
 	manifest += servers("writer", engines) + servers("dispatch", plains)
 	rep := replica.New(time.Now)
-	Expect(rep.Fold(replica.Batch{Entries: []config.LogEntry{manifestEntry(manifest)}})).To(Succeed())
+	Expect(rep.Apply(replica.Batch{Entries: []config.LogEntry{manifestEntry(manifest)}})).To(Succeed())
 	return serveEntry(rep)
 }
 
--- a/internal/entry/rebuild_test.go
+++ b/internal/entry/rebuild_test.go
@@ -18,7 +18,7 @@
 		t.Fatal(err)
 	}
 	entry := config.LogEntry{Position: rep.Next(), Data: data}
-	if err := rep.Fold(replica.Batch{Entries: []config.LogEntry{entry}}); err != nil {
+	if err := rep.Apply(replica.Batch{Entries: []config.LogEntry{entry}}); err != nil {
 		t.Fatal(err)
 	}
 }
--- a/internal/experts/lease_eras_test.go
+++ b/internal/experts/lease_eras_test.go
@@ -19,13 +19,13 @@
 	returns bool
 }
 
-func (s *eraLeases) end() storelog.Position { return storelog.At(s.era, int64(len(s.records))) }
+func (s *eraLeases) end() storelog.Position { return storelog.NewPosition(s.era, int64(len(s.records))) }
 
 func (s *eraLeases) comeBack() {
 	s.era++
 	s.records = slices.Clone(s.records[:min(s.copied, len(s.records))])
 	for i := range s.records {
-		s.records[i].Position = storelog.At(s.era, int64(i))
+		s.records[i].Position = storelog.NewPosition(s.era, int64(i))
 	}
 }
 
--- a/internal/membership/exchange.go
+++ b/internal/membership/exchange.go
@@ -23,7 +23,7 @@
 	// crashes, configuration and eras may be nil.
 	crashes       CrashExchange
 	configuration ConfigReplica
-	eras          *storelog.Eras
+	eras          *storelog.EraTracker
 
 	mu    sync.Mutex
 	peers map[string]heardPeer
@@ -80,13 +80,13 @@
 
 // SetEras makes the exchange note the store's eras that other daemons have heard of. Call it
 // before the first exchange.
-func (e *Exchange) SetEras(eras *storelog.Eras) { e.eras = eras }
+func (e *Exchange) SetEras(eras *storelog.EraTracker) { e.eras = eras }
 
 // noteEra takes in the era, if it's told, of a position up to which another daemon knows a
 // topic.
 func (e *Exchange) noteEra(era *int64, next int64) {
 	if e.eras != nil && era != nil && next > storelog.Unknown.Offset() {
-		e.eras.Note(*era)
+		e.eras.Observe(*era)
 	}
 }
 
@@ -135,12 +135,12 @@
 	return now.Sub(at).Milliseconds() + 1
 }
 
-// Ask takes in what a peer knows and this daemon lacks.
-func (e *Exchange) Ask(ctx context.Context, peer string) error { return e.ask(ctx, peer, false) }
+// Pull takes in what a peer knows and this daemon lacks.
+func (e *Exchange) Pull(ctx context.Context, peer string) error { return e.ask(ctx, peer, false) }
 
-// AskServers takes in the registrations only: a large configuration would fill
+// PullServers takes in the registrations only: a large configuration would fill
 // the link of a small VM.
-func (e *Exchange) AskServers(ctx context.Context, peer string) error { return e.ask(ctx, peer, true) }
+func (e *Exchange) PullServers(ctx context.Context, peer string) error { return e.ask(ctx, peer, true) }
 
 func (e *Exchange) ask(ctx context.Context, peer string, serversOnly bool) error {
 	known := e.members.positions()
@@ -162,7 +162,7 @@
 		e.crashes.Merge(peer, reply.GetCrashes())
 	}
 	if e.configuration != nil {
-		e.configuration.ObservePeerPosition(storelog.At(reply.GetConfigurationEra(), reply.GetConfigurationNext()))
+		e.configuration.ObservePeerPosition(storelog.NewPosition(reply.GetConfigurationEra(), reply.GetConfigurationNext()))
 	}
 	e.takeIn(reply, asked, "peer "+peer)
 	e.heardOf(Peer{Control: peer, Zone: reply.GetZone()})
@@ -187,12 +187,12 @@
 // know that of the topic here.
 func positionOf(next int64, era *int64, t *topic) storelog.Position {
 	if era == nil && next > storelog.Unknown.Offset() {
-		return storelog.At(t.next.Era(), next)
+		return storelog.NewPosition(t.next.Era(), next)
 	}
 	if era == nil {
 		return storelog.Unknown
 	}
-	return storelog.At(*era, next)
+	return storelog.NewPosition(*era, next)
 }
 
 // addNewer adds the configuration in force to what is told of the operators' topic, if it
@@ -260,12 +260,12 @@
 }
 
 // nextOf returns up to where a topic is told.
-func nextOf(t *peerrpc.Topic) storelog.Position { return storelog.At(t.GetEra(), t.GetNext()) }
+func nextOf(t *peerrpc.Topic) storelog.Position { return storelog.NewPosition(t.GetEra(), t.GetNext()) }
 
 func decode(t *peerrpc.Topic) []Record {
 	records := make([]Record, 0, len(t.GetRecords()))
 	for _, r := range t.GetRecords() {
-		records = append(records, Record{Key: r.GetKey(), Value: r.GetValue(), Position: storelog.At(t.GetEra(), r.GetOffset())})
+		records = append(records, Record{Key: r.GetKey(), Value: r.GetValue(), Position: storelog.NewPosition(t.GetEra(), r.GetOffset())})
 	}
 	return records
 }
@@ -291,9 +291,9 @@
 	}
 }
 
-// Met returns the control addresses of daemons that have been heard themselves lately, and
+// LastContacts returns the control addresses of daemons that have been heard themselves lately, and
 // when they were heard last.
-func (e *Exchange) Met() map[string]time.Time {
+func (e *Exchange) LastContacts() map[string]time.Time {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	met := make(map[string]time.Time, len(e.peers))
--- a/internal/membership/follow.go
+++ b/internal/membership/follower.go
@@ -142,11 +142,11 @@
 // Healthy tells whether the store answered last time.
 func (f *Follower) Healthy() bool { return f.healthy.Load() }
 
-// OnReached makes a call when the store is reached again. Call it before the follower runs.
-func (f *Follower) OnReached(call func()) { f.onReached = call }
+// OnReachable makes a call when the store is reached again. Call it before the follower runs.
+func (f *Follower) OnReachable(call func()) { f.onReached = call }
 
-// Lost gets a value when the store can no longer be reached.
-func (f *Follower) Lost() <-chan struct{} { return f.lost }
+// Unreachable gets a value when the store can no longer be reached.
+func (f *Follower) Unreachable() <-chan struct{} { return f.lost }
 
 // FollowConfig follows the operators' topic until the context ends.
 func (f *Follower) FollowConfig(ctx context.Context) {
@@ -218,9 +218,9 @@
 	}
 }
 
-// Wake makes it read everything anew at once: the connection of a long read may have died
+// RestartReads makes it read everything anew at once: the connection of a long read may have died
 // while this VM was suspended.
-func (f *Follower) Wake() {
+func (f *Follower) RestartReads() {
 	wake(f.refreshes)
 	wake(f.rereads)
 }
--- a/internal/membership/membership_suite_test.go
+++ b/internal/membership/membership_suite_test.go
@@ -63,7 +63,7 @@
 	for topic, kept := range map[Topic]int{TopicOperators: operators, TopicServers: servers} {
 		s.records[topic] = slices.Clone(s.records[topic][:min(kept, len(s.records[topic]))])
 		for i := range s.records[topic] {
-			s.records[topic][i].Position = storelog.At(s.era, int64(i))
+			s.records[topic][i].Position = storelog.NewPosition(s.era, int64(i))
 		}
 	}
 }
@@ -73,7 +73,7 @@
 }
 
 func (s *fakeStore) append(topic Topic, key, value string) {
-	s.records[topic] = append(s.records[topic], Record{Key: key, Value: []byte(value), Position: storelog.At(s.era, int64(len(s.records[topic])))})
+	s.records[topic] = append(s.records[topic], Record{Key: key, Value: []byte(value), Position: storelog.NewPosition(s.era, int64(len(s.records[topic])))})
 }
 
 func (s *fakeStore) Read(_ context.Context, topic Topic, from storelog.Position, _ time.Duration) ([]Record, storelog.Position, error) {
@@ -82,7 +82,7 @@
 		return nil, 0, s.err
 	}
 	all := s.records[topic]
-	end := storelog.At(s.era, int64(len(all)))
+	end := storelog.NewPosition(s.era, int64(len(all)))
 	if from.Era() != s.era || from < s.first[topic] || from > end {
 		return nil, 0, ErrGone
 	}
@@ -103,7 +103,7 @@
 			found = append(found, r)
 		}
 	}
-	return found, storelog.At(s.era, int64(len(s.records[topic]))), nil
+	return found, storelog.NewPosition(s.era, int64(len(s.records[topic]))), nil
 }
 
 type bench struct {
@@ -239,7 +239,7 @@
 			server := httptest.NewServer(peerrpc.NewMembershipServer(exchange))
 			DeferCleanup(server.Close)
 			own := NewExchange(b.members, Peer{}, nil, http.DefaultClient, b.follower.log)
-			Expect(own.Ask(context.Background(), strings.TrimPrefix(server.URL, "http://"))).To(Succeed())
+			Expect(own.Pull(context.Background(), strings.TrimPrefix(server.URL, "http://"))).To(Succeed())
 			Expect(b.ids()).To(BeEmpty())
 		})
 
@@ -297,7 +297,7 @@
 		Expect(knowing.read()).To(Succeed())
 		address, _ := serve(knowing)
 		e := NewExchange(asking.members, Peer{}, []string{address}, http.DefaultClient, asking.follower.log)
-		Expect(e.Ask(context.Background(), address)).To(Succeed())
+		Expect(e.Pull(context.Background(), address)).To(Succeed())
 		Expect(asking.members.Config().Version).To(Equal(int64(5)))
 		Expect(asking.ids()).To(ConsistOf("a"))
 	})
@@ -310,12 +310,12 @@
 		sent := &countingTransport{}
 		e := NewExchange(asking.members, Peer{Control: "10.0.0.9:1"}, []string{address}, &http.Client{Transport: sent}, asking.follower.log)
 		for range 3 {
-			Expect(e.Ask(context.Background(), address)).To(Succeed())
+			Expect(e.Pull(context.Background(), address)).To(Succeed())
 		}
 		Expect(sent.largest).To(BeNumerically("<", 40))
 		Expect(asked.members.Config()).To(BeNil())
 		knowing, _ := serve(asking)
-		Expect(server.Ask(context.Background(), knowing)).To(Succeed())
+		Expect(server.Pull(context.Background(), knowing)).To(Succeed())
 		Expect(asked.members.Config().Version).To(Equal(int64(5)))
 	})
 
@@ -326,10 +326,10 @@
 		Expect(knowing.read()).To(Succeed())
 		address, _ := serve(knowing)
 		e := NewExchange(asking.members, Peer{}, []string{address}, http.DefaultClient, asking.follower.log)
-		Expect(e.AskServers(context.Background(), address)).To(Succeed())
+		Expect(e.PullServers(context.Background(), address)).To(Succeed())
 		Expect(asking.members.Config()).To(BeNil())
 		Expect(asking.ids()).To(ConsistOf("a"))
-		Expect(e.Ask(context.Background(), address)).To(Succeed())
+		Expect(e.Pull(context.Background(), address)).To(Succeed())
 		Expect(asking.members.Config().Version).To(Equal(int64(5)))
 	})
 
@@ -342,7 +342,7 @@
 		Expect(newer.read()).To(Succeed())
 		address, _ := serve(old)
 		e := NewExchange(newer.members, Peer{}, []string{address}, http.DefaultClient, newer.follower.log)
-		Expect(e.Ask(context.Background(), address)).To(Succeed())
+		Expect(e.Pull(context.Background(), address)).To(Succeed())
 		Expect(newer.members.Config().Version).To(Equal(int64(8)))
 	})
 
@@ -350,7 +350,7 @@
 		asked, asking := newBench(), newBench()
 		address, server := serve(asked)
 		e := NewExchange(asking.members, Peer{Control: "10.0.0.9:1"}, []string{address}, http.DefaultClient, asking.follower.log)
-		Expect(e.Ask(context.Background(), address)).To(Succeed())
+		Expect(e.Pull(context.Background(), address)).To(Succeed())
 		Expect(server.Peers()).To(ConsistOf("10.0.0.9:1"))
 	})
 })
--- a/internal/membership/reader.go
+++ b/internal/membership/reader.go
@@ -59,7 +59,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, readerTimeout)
 	defer cancel()
-	err := e.Ask(ctx, reader)
+	err := e.Pull(ctx, reader)
 	asOf := e.members.asOf()
 	if err == nil && e.members.now().Sub(asOf) <= maxAge {
 		return true
--- a/internal/membership/reader_test.go
+++ b/internal/membership/reader_test.go
@@ -49,7 +49,7 @@
 	if other.address < reader.address {
 		reader, other = other, reader
 	}
-	Expect(other.exchange.Ask(context.Background(), reader.address)).To(Succeed())
+	Expect(other.exchange.Pull(context.Background(), reader.address)).To(Succeed())
 	return reader, other
 }
 
@@ -139,7 +139,7 @@
 	It("are read by each zone for itself", func() {
 		store := newFakeStore()
 		here, there := serveIn("z1", store), serveIn("z2", store)
-		Expect(here.exchange.Ask(ctx, there.address)).To(Succeed())
+		Expect(here.exchange.Pull(ctx, there.address)).To(Succeed())
 		for _, daemon := range []*served{here, there} {
 			Expect(daemon.exchange.ReadsForZone()).To(BeFalse())
 			reads := store.reads
--- a/internal/membership/oldercopy_test.go
+++ b/internal/membership/restoredstore_test.go
@@ -50,7 +50,7 @@
 		b.store.append(TopicOperators, "config", "4")
 		Expect(b.read()).To(Succeed())
 		Expect(inForce(b)).To(Equal(int64(4)))
-		Expect(b.members.positions().operators).To(Equal(storelog.At(1, 2)))
+		Expect(b.members.positions().operators).To(Equal(storelog.NewPosition(1, 2)))
 	})
 
 	It("doesn't bring back who leaves or has gone, nor take away who has the time to register again", func() {
@@ -87,7 +87,7 @@
 		b.store.append(TopicServers, "a", "1.1.1.1:1 leaving")
 		Expect(b.read()).To(Succeed())
 		Expect(b.members.Servers().Server("a").Leaving).To(BeTrue())
-		Expect(b.members.positions().servers).To(Equal(storelog.At(2, 4)))
+		Expect(b.members.positions().servers).To(Equal(storelog.NewPosition(2, 4)))
 	})
 
 	It("is known from others to a daemon that can't reach it", func() {
--- a/internal/platformdaemon/agent.go
+++ b/internal/platformdaemon/agent.go
@@ -131,9 +131,9 @@
 		peers := a.exchange.Peers()
 		if len(peers) > 0 {
 			peer := peers[rand.IntN(len(peers))]
-			ask := a.exchange.AskServers
+			ask := a.exchange.PullServers
 			if a.configDue() {
-				ask = a.exchange.Ask
+				ask = a.exchange.Pull
 			}
 			if err := ask(ctx, peer); err != nil {
 				a.log.WithError(err).WithField("peer", peer).Debug("peer not reached")
--- a/internal/platformdaemon/entry.go
+++ b/internal/platformdaemon/entry.go
@@ -73,7 +73,7 @@
 	control := &http.Client{Transport: upstream.NewTransport(), Timeout: controlTimeout}
 	store := platform.NewStore(s.Store, upstream.NewTransport())
 	rep := replica.New(time.Now)
-	rep.SetWait(selectorsWait)
+	rep.SetPollTimeout(selectorsWait)
 	e := &EntryDaemon{
 		settings: s, log: log, clock: clk, members: members, replica: rep, steering: steering.New(rep, time.Now, log),
 		configLog: platform.ConfigLog{Store: store, Now: time.Now},
@@ -88,10 +88,10 @@
 	members.OnServers(backend.Prune)
 	members.OnServers(e.crashes.UpdateRegistry)
 	e.exchange.SetEras(store.Eras())
-	e.follower.OnReached(rep.Reread)
-	store.Eras().OnNew(func(int64, int64) {
-		e.follower.Wake()
-		rep.Reread()
+	e.follower.OnReachable(rep.RestartRead)
+	store.Eras().OnAdvance(func(int64, int64) {
+		e.follower.RestartReads()
+		rep.RestartRead()
 	})
 	e.exchange.SetCrashes(e.crashes)
 	e.exchange.SetConfiguration(rep)
@@ -112,7 +112,7 @@
 func (e *EntryDaemon) woke(suspended time.Duration) {
 	e.log.WithField("suspended_ms", suspended.Milliseconds()).Warn("the VM has been suspended: registrations and configuration are read again")
 	e.board.Limits().Resumed(e.clock.Now())
-	e.follower.Wake()
+	e.follower.RestartReads()
 }
 
 // watchSettings takes over what a changed settings file may change while the
@@ -263,7 +263,7 @@
 }
 
 // keepSelectors keeps that configuration where it lasts.
-func (e *EntryDaemon) keepSelectors(ctx context.Context) { e.replica.Keep(ctx, e.configLog, e.log) }
+func (e *EntryDaemon) keepSelectors(ctx context.Context) { e.replica.PersistSnapshots(ctx, e.configLog, e.log) }
 
 const (
 	// peersPace is the time between rounds of asking other daemons while the store
@@ -288,14 +288,14 @@
 			pace, most = calmPace, 1
 		}
 		for _, peer := range peers[:min(len(peers), most)] {
-			if err := e.exchange.Ask(ctx, peer); err != nil {
+			if err := e.exchange.Pull(ctx, peer); err != nil {
 				e.log.WithError(err).WithField("peer", peer).Debug("peer not reached")
 			}
 		}
 		timer := time.NewTimer(pace)
 		select {
 		case <-timer.C:
-		case <-e.follower.Lost():
+		case <-e.follower.Unreachable():
 		case <-ctx.Done():
 		}
 		timer.Stop()
--- a/internal/platformdaemon/limitgossip.go
+++ b/internal/platformdaemon/limitgossip.go
@@ -89,7 +89,7 @@
 
 // meet takes in which other entries there are.
 func (e *EntryDaemon) meet() {
-	for control, at := range e.exchange.Met() {
+	for control, at := range e.exchange.LastContacts() {
 		if address, err := netip.ParseAddrPort(control); err == nil {
 			e.board.Limits().MarkPeerSeen(address.Addr().String(), at)
 		}
--- a/internal/replica/follow.go
+++ b/internal/replica/follow.go
@@ -93,7 +93,7 @@
 func (r *Replica) followOnce(ctx context.Context, source Source, log *logrus.Entry) (time.Duration, error) {
 	wait := r.silence.MaxWait(r.wait, r.now())
 	timeout := wait + readTimeout
-	if !r.Heard() {
+	if !r.HasSynced() {
 		wait, timeout = firstWait, firstTimeout
 	}
 	ctx, cancel := context.WithTimeout(ctx, timeout)
@@ -129,7 +129,7 @@
 		r.silence.Revoke(r.now())
 		return batch.LogAge, r.heal(ctx, source, log)
 	}
-	return batch.LogAge, r.Fold(batch)
+	return batch.LogAge, r.Apply(batch)
 }
 
 // heal takes a snapshot from a source that no longer has the records we need, unless that is
@@ -145,7 +145,7 @@
 	if err != nil {
 		return err
 	}
-	if !r.Adopt(state) {
+	if !r.InstallState(state) {
 		return errors.Errorf("%s offers a state no newer than ours", source.Name())
 	}
 	return nil
@@ -181,7 +181,7 @@
 
 // State implements Source: it returns the state that lasts on the store.
 func (s LogSource) State(ctx context.Context) (*config.State, error) {
-	snapshot, err := s.Log.Kept(ctx)
+	snapshot, err := s.Log.LoadSnapshot(ctx)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/replica/log.go
+++ b/internal/replica/log.go
@@ -24,11 +24,11 @@
 	// Read returns records after a position, waiting up to wait for the first. It returns
 	// ErrGone when the record after the position is no longer kept, or the log is in another era.
 	Read(ctx context.Context, after storelog.Position, wait time.Duration) ([]config.LogEntry, error)
-	// Whole returns all records that are kept, and the log's end.
-	Whole(ctx context.Context) ([]config.LogEntry, storelog.Position, error)
-	// Keep puts a snapshot of the state as of a position where it lasts, unless a newer
+	// ReadAll returns all records that are kept, and the log's end.
+	ReadAll(ctx context.Context) ([]config.LogEntry, storelog.Position, error)
+	// SaveSnapshot puts a snapshot of the state as of a position where it lasts, unless a newer
 	// one is there. The log itself drops its oldest records.
-	Keep(ctx context.Context, at storelog.Position, snapshot []byte) error
-	// Kept returns the newest snapshot, or nil when there is none.
-	Kept(ctx context.Context) ([]byte, error)
+	SaveSnapshot(ctx context.Context, at storelog.Position, snapshot []byte) error
+	// LoadSnapshot returns the newest snapshot, or nil when there is none.
+	LoadSnapshot(ctx context.Context) ([]byte, error)
 }
--- a/internal/replica/peer.go
+++ b/internal/replica/peer.go
@@ -63,8 +63,8 @@
 	Replica *Replica
 	// Log takes the records of agents; nil where there's none.
 	Log Log
-	// Seen is told the offset of each daemon that asks; it may be nil.
-	Seen func(daemon string, offset int64)
+	// OnPeerPosition is told the offset of each daemon that asks; it may be nil.
+	OnPeerPosition func(daemon string, offset int64)
 }
 
 // maxPeerWait bounds how long a peer may make us wait.
@@ -72,8 +72,8 @@
 
 // Records implements rpc.Peers.
 func (s *PeerServer) Records(ctx context.Context, request *rpc.RecordsRequest) (*rpc.RecordsReply, error) {
-	if s.Seen != nil && request.Daemon != "" {
-		s.Seen(request.Daemon, request.After)
+	if s.OnPeerPosition != nil && request.Daemon != "" {
+		s.OnPeerPosition(request.Daemon, request.After)
 	}
 	after := storelog.Position(request.After)
 	wait := min(time.Duration(request.WaitMs)*time.Millisecond, maxPeerWait)
@@ -81,7 +81,7 @@
 	defer cancel()
 	// A timeout is a normal answer without records.
 	_ = s.Replica.Wait(waitCtx, func() bool { return s.Replica.Position() > after })
-	return toReply(s.Replica.After(after), s.Replica.Position()), nil
+	return toReply(s.Replica.EntriesAfter(after), s.Replica.Position()), nil
 }
 
 func toReply(batch Batch, known storelog.Position) *rpc.RecordsReply {
--- a/internal/replica/keep.go
+++ b/internal/replica/persist.go
@@ -45,9 +45,9 @@
 	k.position, k.configured, k.at = view.Position, view.Configured, now
 }
 
-// Keep puts the replica's state where it lasts whenever it has changed, until the
+// PersistSnapshots puts the replica's state where it lasts whenever it has changed, until the
 // context ends. Several daemons may do so: an older state never replaces a newer one.
-func (r *Replica) Keep(ctx context.Context, log Log, logger *logrus.Entry) {
+func (r *Replica) PersistSnapshots(ctx context.Context, log Log, logger *logrus.Entry) {
 	k := keeper{position: storelog.Unknown, configured: config.NoOffset, at: r.now()}
 	for wait.For(ctx, keepPace+rand.N(keepPace)) {
 		view := r.View()
@@ -70,5 +70,5 @@
 	if err != nil {
 		return err
 	}
-	return log.Keep(ctx, at, snapshot)
+	return log.SaveSnapshot(ctx, at, snapshot)
 }
--- a/internal/replica/replica.go
+++ b/internal/replica/replica.go
@@ -68,9 +68,9 @@
 	return r
 }
 
-// SetWait changes how long one read waits for new records, where each read is paid
+// SetPollTimeout changes how long one read waits for new records, where each read is paid
 // for. It is called before Follow.
-func (r *Replica) SetWait(wait time.Duration) { r.wait = wait }
+func (r *Replica) SetPollTimeout(wait time.Duration) { r.wait = wait }
 
 // View returns the configuration in force here.
 func (r *Replica) View() *config.View { return r.view.Load() }
@@ -82,8 +82,8 @@
 	return r.changed
 }
 
-// Fold takes in a batch.
-func (r *Replica) Fold(batch Batch) error {
+// Apply takes in a batch.
+func (r *Replica) Apply(batch Batch) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.confirm(batch.LogAge)
@@ -93,10 +93,10 @@
 			r.publish()
 		}
 	}()
-	return r.fold(batch.Entries)
+	return r.apply(batch.Entries)
 }
 
-func (r *Replica) fold(entries []config.LogEntry) error {
+func (r *Replica) apply(entries []config.LogEntry) error {
 	for _, entry := range entries {
 		if entry.Position <= r.state.Position {
 			continue
@@ -109,9 +109,9 @@
 	return nil
 }
 
-// Adopt replaces the state by a snapshot when that is ahead; an older one is
+// InstallState replaces the state by a snapshot when that is ahead; an older one is
 // refused, so nothing reverts.
-func (r *Replica) Adopt(state *config.State) bool {
+func (r *Replica) InstallState(state *config.State) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if state.Position <= r.state.Position {
@@ -191,11 +191,11 @@
 	return r.now().Sub(r.confirmed)
 }
 
-// Heard tells whether the log has been heard of since the start.
-func (r *Replica) Heard() bool { return r.LogAge() < neverConfirmed }
+// HasSynced tells whether the log has been heard of since the start.
+func (r *Replica) HasSynced() bool { return r.LogAge() < neverConfirmed }
 
-// After returns the records kept after a position, for a peer.
-func (r *Replica) After(known storelog.Position) Batch {
+// EntriesAfter returns the records kept after a position, for a peer.
+func (r *Replica) EntriesAfter(known storelog.Position) Batch {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	batch := Batch{LogAge: r.logAge()}
--- a/internal/replica/replica_test.go
+++ b/internal/replica/replica_test.go
@@ -32,7 +32,7 @@
 func upTo(offset int64) *Replica {
 	r := New(time.Now)
 	for i := range offset + 1 {
-		Expect(r.Fold(Batch{Entries: []config.LogEntry{entryAt(i)}})).To(Succeed())
+		Expect(r.Apply(Batch{Entries: []config.LogEntry{entryAt(i)}})).To(Succeed())
 	}
 	return r
 }
@@ -56,7 +56,7 @@
 	if f.down.Load() {
 		return Batch{}, errors.New("down")
 	}
-	batch := f.from.After(after)
+	batch := f.from.EntriesAfter(after)
 	batch.LogAge = time.Duration(f.age.Load()) * time.Millisecond
 	if f.absent && after < f.from.Position() {
 		return Batch{Gone: true}, nil
@@ -101,7 +101,7 @@
 		} {
 			r := upTo(1)
 			r.now = func() time.Time { return now }
-			r.SetWait(28 * time.Second)
+			r.SetPollTimeout(28 * time.Second)
 			source := &fakeSource{name: "log", from: upTo(2)}
 			step := func() time.Duration {
 				_, _ = r.followOnce(context.Background(), source, logrus.NewEntry(logrus.New())) // how long it waited counts
@@ -119,7 +119,7 @@
 
 	It("ends a read that is silent about what a peer knows", func() {
 		r := upTo(1)
-		r.SetWait(28 * time.Second)
+		r.SetPollTimeout(28 * time.Second)
 		deaf := &deafSource{&fakeSource{name: "log", from: upTo(1)}}
 		follow(r, deaf, &fakeSource{name: "peer", from: upTo(4)})
 		r.ObservePeerPosition(2)
@@ -134,13 +134,13 @@
 		Expect(err).NotTo(HaveOccurred())
 		state, err := config.DecodeSnapshot(older)
 		Expect(err).NotTo(HaveOccurred())
-		Expect(r.Adopt(state)).To(BeFalse())
+		Expect(r.InstallState(state)).To(BeFalse())
 		Expect(r.Position()).To(Equal(storelog.Position(5)))
 	})
 
 	It("refuses records that leave a gap, and ignores those it has", func() {
 		r := upTo(3)
-		Expect(r.Fold(Batch{Entries: []config.LogEntry{entryAt(2), entryAt(5)}})).To(MatchError(config.ErrGap))
+		Expect(r.Apply(Batch{Entries: []config.LogEntry{entryAt(2), entryAt(5)}})).To(MatchError(config.ErrGap))
 		Expect(r.Position()).To(Equal(storelog.Position(3)))
 	})
 
@@ -175,19 +175,19 @@
 		Expect(err).NotTo(HaveOccurred())
 		state, err := config.DecodeSnapshot(data)
 		Expect(err).NotTo(HaveOccurred())
-		Expect(healed.Adopt(state)).To(BeTrue())
-		Expect(healed.After(1).Gone).To(BeTrue())
-		Expect(healed.After(3).Gone).To(BeFalse())
+		Expect(healed.InstallState(state)).To(BeTrue())
+		Expect(healed.EntriesAfter(1).Gone).To(BeTrue())
+		Expect(healed.EntriesAfter(3).Gone).To(BeFalse())
 	})
 
 	It("adds up the age of what it hears of the log", func() {
 		now := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 		r := New(func() time.Time { return now })
 		Expect(r.LogAge()).To(Equal(neverConfirmed))
-		Expect(r.Fold(Batch{LogAge: 2 * time.Second})).To(Succeed())
+		Expect(r.Apply(Batch{LogAge: 2 * time.Second})).To(Succeed())
 		now = now.Add(time.Second)
 		Expect(r.LogAge()).To(Equal(3 * time.Second))
-		Expect(r.Fold(Batch{LogAge: 10 * time.Second})).To(Succeed()) // older news changes nothing
+		Expect(r.Apply(Batch{LogAge: 10 * time.Second})).To(Succeed()) // older news changes nothing
 		Expect(r.LogAge()).To(Equal(3 * time.Second))
 	})
 })
@@ -233,7 +233,7 @@
 	It("spread over its entries", func() {
 		counts := map[int]int{}
 		for i := range 800 {
-			order := Spread([]int{0, 1, 2, 3, 4, 5, 6, 7}, fmt.Sprint("engine-", i))
+			order := RotateByName([]int{0, 1, 2, 3, 4, 5, 6, 7}, fmt.Sprint("engine-", i))
 			Expect(order).To(ConsistOf(0, 1, 2, 3, 4, 5, 6, 7))
 			counts[order[0]]++
 		}
--- a/internal/replica/restore.go
+++ b/internal/replica/restore.go
@@ -13,9 +13,9 @@
 // to be written again.
 const viewHold = 5 * time.Second
 
-// Reread ends the present read and goes back to the first source: the store can be reached
+// RestartRead ends the present read and goes back to the first source: the store can be reached
 // again, or has come back from an older copy, where reads may hang.
-func (r *Replica) Reread() {
+func (r *Replica) RestartRead() {
 	select {
 	case r.reread <- struct{}{}:
 	default: // it's about to end
@@ -29,7 +29,7 @@
 // added meanwhile. It returns false if the log is in the replica's era, or doesn't reach back
 // to what the replica knows.
 func (r *Replica) carryOver(ctx context.Context, log Log, logger *logrus.Entry) (bool, error) {
-	entries, end, err := log.Whole(ctx)
+	entries, end, err := log.ReadAll(ctx)
 	if err != nil {
 		return false, err
 	}
@@ -94,7 +94,7 @@
 	r.confirm(0)
 	r.leaveEra()
 	r.state.Enter(known)
-	err := r.fold(entries)
+	err := r.apply(entries)
 	r.publish()
 	return err
 }
--- a/internal/replica/restore_property_test.go
+++ b/internal/replica/restore_property_test.go
@@ -32,7 +32,7 @@
 	afterWhole func()
 }
 
-func (l *eraLog) end() storelog.Position { return storelog.At(l.era, int64(len(l.entries))) }
+func (l *eraLog) end() storelog.Position { return storelog.NewPosition(l.era, int64(len(l.entries))) }
 
 func (l *eraLog) Append(_ context.Context, data []byte) (storelog.Position, error) {
 	at := l.end()
@@ -59,7 +59,7 @@
 	return slices.Clone(l.entries[after.Offset()+1:]), nil
 }
 
-func (l *eraLog) Whole(context.Context) ([]config.LogEntry, storelog.Position, error) {
+func (l *eraLog) ReadAll(context.Context) ([]config.LogEntry, storelog.Position, error) {
 	entries, end := slices.Clone(l.entries), l.end()
 	if l.afterWhole != nil {
 		meanwhile := l.afterWhole
@@ -73,7 +73,7 @@
 	l.era++
 	l.entries = slices.Clone(l.entries[:min(l.copied, len(l.entries))])
 	for i := range l.entries {
-		l.entries[i].Position = storelog.At(l.era, int64(i))
+		l.entries[i].Position = storelog.NewPosition(l.era, int64(i))
 	}
 }
 
--- a/internal/replica/tree.go
+++ b/internal/replica/tree.go
@@ -21,9 +21,9 @@
 	return (place - LogReaders) / treeFanout, true
 }
 
-// Spread returns the items beginning at a place that a name's hash chooses, so
+// RotateByName returns the items beginning at a place that a name's hash chooses, so
 // that many daemons with the same list don't all begin with the same one.
-func Spread[T any](items []T, name string) []T {
+func RotateByName[T any](items []T, name string) []T {
 	if len(items) == 0 {
 		return nil
 	}
--- a/internal/steering/steering.go
+++ b/internal/steering/steering.go
@@ -67,7 +67,7 @@
 		return true
 	}
 	in := s.inForce()
-	if in == nil || !s.replica.Heard() || in.index.ConfigOffset() != s.replica.View().Configured {
+	if in == nil || !s.replica.HasSynced() || in.index.ConfigOffset() != s.replica.View().Configured {
 		return false
 	}
 	s.known.Store(true)
--- a/internal/steering/steering_test.go
+++ b/internal/steering/steering_test.go
@@ -83,7 +83,7 @@
 		record := &config.Record{Format: config.FormatVersion, Kind: config.RecordChange, Bundle: bundle}
 		data, err := record.Encode()
 		Expect(err).NotTo(HaveOccurred())
-		Expect(rep.Fold(replica.Batch{Entries: []config.LogEntry{{Position: rep.Next(), Data: data}}})).To(Succeed())
+		Expect(rep.Apply(replica.Batch{Entries: []config.LogEntry{{Position: rep.Next(), Data: data}}})).To(Succeed())
 		result, _ := rep.Result(text)
 		Expect(result.Reason).To(BeEmpty())
 		s.compile(rep.View())
@@ -116,7 +116,7 @@
 
 	It("is known when the log is empty", func() {
 		s.compile(rep.View())
-		Expect(rep.Fold(replica.Batch{})).To(Succeed())
+		Expect(rep.Apply(replica.Batch{})).To(Succeed())
 		Expect(s.Ready()).To(BeTrue())
 	})
 
--- a/internal/storelog/eras.go
+++ b/internal/storelog/eras.go
@@ -7,22 +7,22 @@
 // NoEra is the era of a store that names none.
 const NoEra int64 = 0
 
-// Eras is the newest era that a daemon has heard of. A store's era rises each time that it
+// EraTracker is the newest era that a daemon has heard of. A store's era rises each time that it
 // comes back from an older copy: records that it had acknowledged may be gone then, and
 // their offsets are given out again. The zero value has heard of none. Safe for concurrent
 // use; its lock is a leaf.
-type Eras struct {
+type EraTracker struct {
 	mu     sync.Mutex
 	newest int64
 	heard  bool
 	onNew  []func(before, now int64)
 }
 
-// OnNew calls f whenever the store turns out to have come back. Call it before the first Note.
-func (e *Eras) OnNew(f func(before, now int64)) { e.onNew = append(e.onNew, f) }
+// OnAdvance calls f whenever the store turns out to have come back. Call it before the first Note.
+func (e *EraTracker) OnAdvance(f func(before, now int64)) { e.onNew = append(e.onNew, f) }
 
-// Note takes in an era that the store or another daemon has named.
-func (e *Eras) Note(era int64) {
+// Observe takes in an era that the store or another daemon has named.
+func (e *EraTracker) Observe(era int64) {
 	e.mu.Lock()
 	before, risen := e.newest, e.heard && era > e.newest
 	if era >= e.newest {
@@ -38,7 +38,7 @@
 }
 
 // Newest returns the newest era heard of.
-func (e *Eras) Newest() int64 {
+func (e *EraTracker) Newest() int64 {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.newest
--- a/internal/storelog/position.go
+++ b/internal/storelog/position.go
@@ -13,8 +13,8 @@
 // offsetBits are a position's lower bits.
 const offsetBits = 40
 
-// At returns the position of an offset; -1 is the offset before the first.
-func At(era, offset int64) Position { return Position(era<<offsetBits + offset) }
+// NewPosition returns the position of an offset; -1 is the offset before the first.
+func NewPosition(era, offset int64) Position { return Position(era<<offsetBits + offset) }
 
 // Era returns the era of the store that the position belongs to.
 func (p Position) Era() int64 { return int64(p+1) >> offsetBits }
--- a/standins/platform/kept_test.go
+++ b/standins/platform/kept_test.go
@@ -35,7 +35,7 @@
 
 func wantKept(t *testing.T, log platform.ConfigLog, want []byte) {
 	t.Helper()
-	got, err := log.Kept(context.Background())
+	got, err := log.LoadSnapshot(context.Background())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -55,7 +55,7 @@
 		snapshot []byte
 		want     []byte
 	}{{5, large, large}, {9, small, small}, {7, large, small}, {9, large, small}, {12, large, large}} {
-		if err := log.Keep(ctx, step.offset, step.snapshot); err != nil {
+		if err := log.SaveSnapshot(ctx, step.offset, step.snapshot); err != nil {
 			t.Fatal(err)
 		}
 		wantKept(t, log, step.want)
@@ -72,25 +72,25 @@
 		return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			if r.Method == http.MethodPost && !overtaken {
 				overtaken = true
-				if err := log.Keep(ctx, 8, snapshotOf(30)); err != nil {
+				if err := log.SaveSnapshot(ctx, 8, snapshotOf(30)); err != nil {
 					t.Error(err)
 				}
 			}
 			next.ServeHTTP(w, r)
 		})
 	})
-	if err := log.Keep(ctx, 6, snapshotOf(20)); err == nil {
+	if err := log.SaveSnapshot(ctx, 6, snapshotOf(20)); err == nil {
 		t.Fatal("a state was kept over one that came meanwhile")
 	}
 	wantKept(t, log, snapshotOf(30))
 
 	store := NewStore()
 	mixed := keptLog(t, func(http.Handler) http.Handler { return store })
-	if err := mixed.Keep(ctx, 6, snapshotOf(20)); err != nil {
+	if err := mixed.SaveSnapshot(ctx, 6, snapshotOf(20)); err != nil {
 		t.Fatal(err)
 	}
 	store.Put("keyed.configuration", "part-0000", "another's")
-	if _, err := mixed.Kept(ctx); err == nil {
+	if _, err := mixed.LoadSnapshot(ctx); err == nil {
 		t.Fatal("parts of two states were taken for one")
 	}
 }
--- a/standins/platform/oldercopy_test.go
+++ b/standins/platform/oldercopy_test.go
@@ -85,7 +85,7 @@
 	t.Cleanup(cancel)
 	logger, _ := logrustest.NewNullLogger()
 	go r.Follow(ctx, []replica.Source{replica.LogSource{Log: log}}, logrus.NewEntry(logger))
-	go r.Keep(ctx, log, logrus.NewEntry(logger))
+	go r.PersistSnapshots(ctx, log, logrus.NewEntry(logger))
 	return r, log
 }
 
