--- a/internal/experts/lease_eras_test.go
+++ b/internal/experts/lease_eras_test.go
@@ -19,7 +19,9 @@
 	returns bool
 }
 
-func (s *eraLeases) end() storelog.Position { return storelog.NewPosition(s.era, int64(len(s.records))) }
+func (s *eraLeases) end() storelog.Position {
+	return storelog.NewPosition(s.era, int64(len(s.records)))
+}
 
 func (s *eraLeases) comeBack() {
 	s.era++
--- a/internal/membership/longpoll_test.go
+++ b/internal/membership/longpoll_test.go
@@ -17,7 +17,7 @@
 
 func (z *fakeZone) Refresh(context.Context, time.Duration) bool { return false }
 func (z *fakeZone) ReadsForZone() bool                          { return z.reads }
-func (z *fakeZone) ReadsDirectly() bool                           { return z.reads }
+func (z *fakeZone) ReadsDirectly() bool                         { return z.reads }
 
 var _ = Describe("the store's silence about configurations", func() {
 	var b *bench
--- a/internal/platformdaemon/entry.go
+++ b/internal/platformdaemon/entry.go
@@ -263,7 +263,9 @@
 }
 
 // keepSelectors keeps that configuration where it lasts.
-func (e *EntryDaemon) keepSelectors(ctx context.Context) { e.replica.PersistSnapshots(ctx, e.configLog, e.log) }
+func (e *EntryDaemon) keepSelectors(ctx context.Context) {
+	e.replica.PersistSnapshots(ctx, e.configLog, e.log)
+}
 
 const (
 	// peersPace is the time between rounds of asking other daemons while the store
