--- a/Makefile
+++ b/Makefile
@@ -33,7 +33,7 @@
 
 race: build
 	go test -race -count=1 $(SKIP_RED) $(filter-out %/scenarios %/soak,$(shell go list $(PACKAGES)))
-	go test -count=1 -run 'OneMap|Mutants|GoesOn' ./internal/experts
+	go test -count=1 -run 'OneMap|Mutants|RecoversAfterFaults' ./internal/experts
 	go test -count=1 -parallel 4 $(SKIP_RED) ./standins/scenarios
 	go test -count=1 ./standins/soak
 	@if [ -s KNOWN-RED.txt ]; then echo "known red, not run:"; cat KNOWN-RED.txt; fi
--- a/cmd/crowbridged/rank.go
+++ b/cmd/crowbridged/rank.go
@@ -54,7 +54,7 @@
 	control := daemon.NewControlClient(key)
 	leader := ranks.NewLeader(options, rank, engines, group.Directory{Replica: rep}, store, control, p.log)
 	service := ranks.NewService(rank)
-	p.run(func(ctx context.Context) error { return ranks.Listen(ctx, datagrams, service, key, p.log) })
+	p.run(func(ctx context.Context) error { return ranks.Serve(ctx, datagrams, service, key, p.log) })
 	p.loop(func(ctx context.Context) { watchEngine(ctx, rank) })
 	p.loop(trail.Run)
 	p.loop(leader.Run)
--- a/internal/experts/agent.go
+++ b/internal/experts/agent.go
@@ -29,31 +29,31 @@
 
 	mu sync.Mutex // a leaf
 	// fence is the highest heard of, heardAt when its holder called last.
-	fence   int64
-	heardAt time.Time
-	last    RankReport
+	fence          int64
+	holderCalledAt time.Time
+	lastReport     RankReport
 	// counted is what the engine had counted at the last look of the holder with the
 	// fence countedFor.
-	counted    Counts
-	countedFor int64
+	prevCounts      Counts
+	prevCountsFence int64
 	// openedAt is when the group was seen to open last.
 	openedAt time.Time
 	// notice is what the engine has said of itself in answers to orders.
 	notice eligibility.Report
 	// inherited is the fence of a lease that an earlier process of this daemon had.
-	inherited int64
+	goneFence int64
 	// orders keeps orders one after the other, so that none with an old fence is on
 	// its way once a higher one has been heard of.
-	orders sync.Mutex
+	commandMu sync.Mutex
 }
 
 // NewAgent returns the agent of the engine at an address.
 func NewAgent(engine Engine, address string, now func() time.Time, log *logrus.Entry) *Agent {
-	return &Agent{engine: engine, address: address, now: now, log: log, heardAt: now()}
+	return &Agent{engine: engine, address: address, now: now, log: log, holderCalledAt: now()}
 }
 
 // hear notes a call of a holder. It tells whether its fence is the highest.
-func (a *Agent) hear(fence int64) (highest int64, current bool) {
+func (a *Agent) recordFence(fence int64) (highest int64, current bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if fence < a.fence {
@@ -62,38 +62,38 @@
 	if fence > a.fence {
 		a.log.WithFields(logrus.Fields{"fence": fence, "before": a.fence}).Info("new holder heard of")
 	}
-	a.fence, a.heardAt = fence, a.now()
+	a.fence, a.holderCalledAt = fence, a.now()
 	return fence, true
 }
 
 // Learn notes a fence that the lease's history shows.
-func (a *Agent) ObserveFence(fence int64) { a.hear(fence) }
+func (a *Agent) ObserveFence(fence int64) { a.recordFence(fence) }
 
 // Inherit notes a lease that an earlier process of this daemon had. Nobody has it now,
 // so that there is nobody to wait for.
 func (a *Agent) MarkHolderGone(fence int64) {
-	a.hear(fence)
+	a.recordFence(fence)
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.inherited = fence
+	a.goneFence = fence
 }
 
 // neverCalls is for how long a holder has been silent that doesn't run any more.
-const neverCalls = time.Hour
+const goneDuration = time.Hour
 
 // Silent tells the highest fence heard of, and for how long an open group has
 // gone without a call of its holder. A group that isn't open needs none, and its
 // holder may be on the other side of what broke it.
-func (a *Agent) SinceHolderCall() (fence int64, silent time.Duration) {
+func (a *Agent) SinceHolderCall() (fence int64, elapsed time.Duration) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if !a.last.Open {
+	if !a.lastReport.Open {
 		return a.fence, 0
 	}
-	if a.inherited != 0 && a.inherited == a.fence {
-		return a.fence, neverCalls
+	if a.goneFence != 0 && a.goneFence == a.fence {
+		return a.fence, goneDuration
 	}
-	since := a.heardAt
+	since := a.holderCalledAt
 	if a.openedAt.After(since) {
 		since = a.openedAt
 	}
@@ -110,8 +110,8 @@
 }
 
 // Observe answers a holder.
-func (a *Agent) Observe(ctx context.Context, fence int64, ask Query) (Observation, error) {
-	highest, current := a.hear(fence)
+func (a *Agent) Observe(ctx context.Context, fence int64, query Query) (Observation, error) {
+	highest, current := a.recordFence(fence)
 	if !current {
 		return Observation{Fence: highest}, nil
 	}
@@ -123,19 +123,19 @@
 	if err != nil {
 		return Observation{Fence: highest}, err
 	}
-	seen := Observation{Report: report, Fence: highest}
-	seen.Report.Pass = max(report.Pass, counts.Pass)
-	if more := a.sinceLast(fence, counts); ask.To > ask.From {
-		seen.Counts = more.between(ask.From, ask.To)
+	observation := Observation{Report: report, Fence: highest}
+	observation.Report.Pass = max(report.Pass, counts.Pass)
+	if delta := a.countDelta(fence, counts); query.To > query.From {
+		observation.Counts = delta.slice(query.From, query.To)
 	}
-	if ask.Experts {
-		seen.Experts, err = a.engine.Experts(ctx, a.address)
+	if query.Experts {
+		observation.Experts, err = a.engine.Experts(ctx, a.address)
 	}
-	return seen, err
+	return observation, err
 }
 
 // between returns the counts from one place to before another.
-func (c Counts) between(from, to int) Counts {
+func (c Counts) slice(from, to int) Counts {
 	to = min(to, len(c.Chosen))
 	if from < 0 || from >= to {
 		c.Chosen = nil
@@ -147,23 +147,23 @@
 
 // sinceLast returns what was chosen since a holder's last look; nothing the first
 // time, and when the rank counts from 0 again.
-func (a *Agent) sinceLast(fence int64, counts Counts) Counts {
+func (a *Agent) countDelta(fence int64, counts Counts) Counts {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	last, asked := a.counted, a.countedFor
-	a.counted, a.countedFor = counts, fence
-	more := Counts{Pass: counts.Pass, Epoch: counts.Epoch, StartID: counts.StartID}
-	if asked != fence || last.Epoch != counts.Epoch || last.StartID != counts.StartID || len(last.Chosen) != len(counts.Chosen) {
-		return more
+	prev, prevFence := a.prevCounts, a.prevCountsFence
+	a.prevCounts, a.prevCountsFence = counts, fence
+	delta := Counts{Pass: counts.Pass, Epoch: counts.Epoch, StartID: counts.StartID}
+	if prevFence != fence || prev.Epoch != counts.Epoch || prev.StartID != counts.StartID || len(prev.Chosen) != len(counts.Chosen) {
+		return delta
 	}
 	chosen := make([]float64, len(counts.Chosen))
 	for i, n := range counts.Chosen {
-		if chosen[i] = n - last.Chosen[i]; chosen[i] < 0 {
-			return more
+		if chosen[i] = n - prev.Chosen[i]; chosen[i] < 0 {
+			return delta
 		}
 	}
-	more.Chosen = chosen
-	return more
+	delta.Chosen = chosen
+	return delta
 }
 
 // Report reads the engine's state.
@@ -174,13 +174,13 @@
 	}
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if report.Open && !a.last.Open {
+	if report.Open && !a.lastReport.Open {
 		a.openedAt = a.now()
 	}
-	if report.StartID != a.last.StartID {
+	if report.StartID != a.lastReport.StartID {
 		a.notice = eligibility.Report{} // this start has said nothing
 	}
-	a.last = report
+	a.lastReport = report
 	return report, nil
 }
 
@@ -188,26 +188,26 @@
 func (a *Agent) LastReport() RankReport {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.last
+	return a.lastReport
 }
 
 // Command gives the engine an order of a holder.
-func (a *Agent) Execute(ctx context.Context, order Command) (Result, error) {
-	a.orders.Lock()
-	defer a.orders.Unlock()
-	if highest, current := a.hear(order.Fence); !current {
-		return Fenced, errors.Errorf("the order's fence is %d, the highest known %d", order.Fence, highest)
+func (a *Agent) Execute(ctx context.Context, command Command) (Result, error) {
+	a.commandMu.Lock()
+	defer a.commandMu.Unlock()
+	if highest, current := a.recordFence(command.Fence); !current {
+		return Fenced, errors.Errorf("the order's fence is %d, the highest known %d", command.Fence, highest)
 	}
-	if err := a.permit(order.Operation); err != nil {
-		a.log.WithError(err).WithField("operation", order.Operation.String()).Info("order not given")
+	if err := a.checkPermitted(command.Operation); err != nil {
+		a.log.WithError(err).WithField("operation", command.Operation.String()).Info("order not given")
 		return Refused, err
 	}
-	verdict, err := Retry(ctx, localTry, func(ctx context.Context) (Result, error) {
-		return a.engine.Execute(ctx, a.address, order)
+	result, err := Retry(ctx, localAttemptTimeout, func(ctx context.Context) (Result, error) {
+		return a.engine.Execute(ctx, a.address, command)
 	})
 	a.log.WithFields(logrus.Fields{
-		"operation": order.Operation.String(), "version": order.Version, "pass": order.Pass, "epoch": order.Epoch,
-		"fence": order.Fence, "verdict": verdict.String(), "error": errorText(err),
+		"operation": command.Operation.String(), "version": command.Version, "pass": command.Pass, "epoch": command.Epoch,
+		"fence": command.Fence, "verdict": result.String(), "error": errorText(err),
 	}).Info("order given")
 	var rest *RestError
 	if errors.As(err, &rest) {
@@ -215,7 +215,7 @@
 		defer a.mu.Unlock()
 		a.notice.RecordRest(rest.Rest, a.now())
 	}
-	return verdict, err
+	return result, err
 }
 
 // RestError says that an engine refused an order and wants no more for a time.
@@ -233,7 +233,7 @@
 // permit returns why an engine may get no order now, or nil. Orders that begin something
 // wait for its rest to end. Those that undo or go on with what all ranks have begun don't:
 // without them ranks would hold each other up, or begin a pass with different maps.
-func (a *Agent) permit(operation Operation) error {
+func (a *Agent) checkPermitted(operation Operation) error {
 	if operation != Prepare && operation != Arm && operation != Hold {
 		return nil
 	}
@@ -247,20 +247,20 @@
 
 // localTry bounds one try of an order to the engine on the same VM, which
 // answers in well under a millisecond.
-const localTry = 12 * time.Millisecond
+const localAttemptTimeout = 12 * time.Millisecond
 
 // Repeat gives an order until it is answered or the context ends. Orders are
 // idempotent: one that was carried out already is accepted again.
-func Retry(ctx context.Context, try time.Duration, give func(ctx context.Context) (Result, error)) (Result, error) {
+func Retry(ctx context.Context, attemptTimeout time.Duration, send func(ctx context.Context) (Result, error)) (Result, error) {
 	for {
-		attempt, cancel := context.WithTimeout(ctx, try)
-		verdict, err := give(attempt)
-		if verdict == NoResponse {
+		attempt, cancel := context.WithTimeout(ctx, attemptTimeout)
+		result, err := send(attempt)
+		if result == NoResponse {
 			<-attempt.Done() // an engine that can't be reached fails at once
 		}
 		cancel()
-		if verdict != NoResponse || ctx.Err() != nil {
-			return verdict, err
+		if result != NoResponse || ctx.Err() != nil {
+			return result, err
 		}
 	}
 }
--- a/internal/experts/agent_test.go
+++ b/internal/experts/agent_test.go
@@ -29,7 +29,7 @@
 	// rest is what each order is refused with, if it's set.
 	rest time.Duration
 	// unanswered orders come before the first that is answered.
-	unanswered int
+	timeouts int
 }
 
 func (e *fakeEngine) Report(context.Context, string) (RankReport, error) { return e.report, nil }
@@ -43,29 +43,29 @@
 	if e.rest > 0 {
 		return Refused, &RestError{Rest: e.rest, Err: errors.New("status 503")}
 	}
-	if len(e.orders) <= e.unanswered {
+	if len(e.orders) <= e.timeouts {
 		return NoResponse, errors.New("no answer")
 	}
 	return Accepted, nil
 }
 
 // fakeLeases is a history in memory.
-type fakeLeases struct {
+type memoryLeases struct {
 	records []StoredRecord
 	err     error
 }
 
-func (l *fakeLeases) add(group string, rank int) {
+func (l *memoryLeases) add(group string, rank int) {
 	data, err := json.Marshal(LeaseRecord{Group: group, Rank: rank})
 	Expect(err).NotTo(HaveOccurred())
 	l.records = append(l.records, StoredRecord{Position: storelog.Position(len(l.records)), Data: data})
 }
 
-func (l *fakeLeases) ReadLeases(_ context.Context, from storelog.Position) (storelog.Position, []StoredRecord, error) {
+func (l *memoryLeases) ReadLeases(_ context.Context, from storelog.Position) (storelog.Position, []StoredRecord, error) {
 	return storelog.Position(len(l.records)), l.records[min(int(from), len(l.records)):], l.err
 }
 
-func (l *fakeLeases) AppendLease(_ context.Context, end storelog.Position, data []byte) (bool, error) {
+func (l *memoryLeases) AppendLease(_ context.Context, end storelog.Position, data []byte) (bool, error) {
 	if end != storelog.Position(len(l.records)) {
 		return false, nil
 	}
@@ -88,41 +88,41 @@
 		_, err := agent.RefreshReport(ctx)
 		Expect(err).NotTo(HaveOccurred())
 		agent.MarkHolderGone(4)
-		fence, silent := agent.SinceHolderCall()
+		fence, elapsed := agent.SinceHolderCall()
 		Expect(fence).To(Equal(int64(4)))
-		Expect(silent).To(BeNumerically(">", ClaimDelay(11)))
+		Expect(elapsed).To(BeNumerically(">", ClaimDelay(11)))
 		agent.ObserveFence(5)
-		_, silent = agent.SinceHolderCall()
-		Expect(silent).To(BeZero())
+		_, elapsed = agent.SinceHolderCall()
+		Expect(elapsed).To(BeZero())
 		engine.report.Open = false
 		agent.MarkHolderGone(6)
 		_, err = agent.RefreshReport(ctx)
 		Expect(err).NotTo(HaveOccurred())
-		_, silent = agent.SinceHolderCall()
-		Expect(silent).To(BeZero(), "a group that can't run needs no holder")
+		_, elapsed = agent.SinceHolderCall()
+		Expect(elapsed).To(BeZero(), "a group that can't run needs no holder")
 	})
 
 	It("lets its engine rest from orders that begin something, and never holds one back that others wait for", func() {
 		engine.rest = 3 * time.Second
-		give := func(operation Operation) Result {
-			verdict, _ := agent.Execute(ctx, Command{Operation: operation, Fence: 1})
-			return verdict
+		execute := func(operation Operation) Result {
+			result, _ := agent.Execute(ctx, Command{Operation: operation, Fence: 1})
+			return result
 		}
-		Expect(give(Prepare)).To(Equal(Refused))
+		Expect(execute(Prepare)).To(Equal(Refused))
 		engine.rest = 0
 		for _, operation := range []Operation{Prepare, Arm, Hold} {
-			Expect(give(operation)).To(Equal(Refused))
+			Expect(execute(operation)).To(Equal(Refused))
 		}
 		Expect(engine.orders).To(HaveLen(1))
 		for _, operation := range []Operation{Disarm, Release} {
-			Expect(give(operation)).To(Equal(Accepted))
+			Expect(execute(operation)).To(Equal(Accepted))
 		}
 		engine.rest, now = 3*time.Second, now.Add(3*time.Second)
-		Expect(give(Prepare)).To(Equal(Refused))
+		Expect(execute(Prepare)).To(Equal(Refused))
 		engine.rest, engine.report.StartID = 0, 2
 		_, err := agent.RefreshReport(ctx)
 		Expect(err).NotTo(HaveOccurred())
-		Expect(give(Prepare)).To(Equal(Accepted), "its next start has said nothing")
+		Expect(execute(Prepare)).To(Equal(Accepted), "its next start has said nothing")
 	})
 
 	It("counts nothing from one start of its engine to the next", func() {
@@ -141,8 +141,8 @@
 	It("gives no order of a holder that another has replaced", func() {
 		_, err := agent.Observe(ctx, 7, Query{})
 		Expect(err).NotTo(HaveOccurred())
-		verdict, _ := agent.Execute(ctx, Command{Operation: Arm, Fence: 6})
-		Expect(verdict).To(Equal(Fenced))
+		result, _ := agent.Execute(ctx, Command{Operation: Arm, Fence: 6})
+		Expect(result).To(Equal(Fenced))
 		Expect(engine.orders).To(BeEmpty())
 	})
 
@@ -154,17 +154,17 @@
 	})
 
 	It("tells the part of the counts that is asked for, since the holder's last look", func() {
-		look := func(ask Query, chosen ...float64) Counts {
+		observe := func(ask Query, chosen ...float64) Counts {
 			engine.counts = Counts{Epoch: 1, Chosen: chosen}
 			seen, err := agent.Observe(ctx, 1, ask)
 			Expect(err).NotTo(HaveOccurred())
 			return seen.Counts
 		}
-		look(Query{}, 1, 1, 1, 1)
-		Expect(look(Query{From: 1, To: 3}, 2, 3, 4, 5)).To(Equal(Counts{Epoch: 1, Offset: 1, Chosen: []float64{2, 3}}))
-		Expect(look(Query{}, 9, 9, 9, 9)).To(Equal(Counts{}))
-		Expect(look(Query{From: 3, To: 9}, 9, 9, 9, 10).Chosen).To(Equal([]float64{1}))
-		Expect(look(Query{From: 7, To: 9}, 9, 9, 9, 10).Chosen).To(BeEmpty())
+		observe(Query{}, 1, 1, 1, 1)
+		Expect(observe(Query{From: 1, To: 3}, 2, 3, 4, 5)).To(Equal(Counts{Epoch: 1, Offset: 1, Chosen: []float64{2, 3}}))
+		Expect(observe(Query{}, 9, 9, 9, 9)).To(Equal(Counts{}))
+		Expect(observe(Query{From: 3, To: 9}, 9, 9, 9, 10).Chosen).To(Equal([]float64{1}))
+		Expect(observe(Query{From: 7, To: 9}, 9, 9, 9, 10).Chosen).To(BeEmpty())
 	})
 
 	It("tells what was chosen since the same holder asked last", func() {
@@ -183,27 +183,27 @@
 	})
 
 	It("repeats an order until it's answered", func() {
-		engine.unanswered = 2
-		verdict, err := agent.Execute(ctx, Command{Operation: Arm, Fence: 1})
+		engine.timeouts = 2
+		result, err := agent.Execute(ctx, Command{Operation: Arm, Fence: 1})
 		Expect(err).NotTo(HaveOccurred())
-		Expect(verdict).To(Equal(Accepted))
+		Expect(result).To(Equal(Accepted))
 		Expect(engine.orders).To(HaveLen(3))
 	})
 
 	It("misses the holder of an open group only, from its opening on", func() {
-		silence := func() time.Duration {
+		elapsed := func() time.Duration {
 			_, err := agent.RefreshReport(ctx)
 			Expect(err).NotTo(HaveOccurred())
-			_, silent := agent.SinceHolderCall()
-			return silent
+			_, elapsed := agent.SinceHolderCall()
+			return elapsed
 		}
 		engine.report.Open = false
 		now = now.Add(time.Minute)
-		Expect(silence()).To(BeZero())
+		Expect(elapsed()).To(BeZero())
 		engine.report.Open = true
-		Expect(silence()).To(BeZero())
+		Expect(elapsed()).To(BeZero())
 		now = now.Add(time.Second)
-		Expect(silence()).To(Equal(time.Second))
+		Expect(elapsed()).To(Equal(time.Second))
 	})
 })
 
@@ -212,14 +212,14 @@
 	record := LeaseRecord{Group: "g", Holder: "me", Rank: 3}
 
 	It("goes to the first that claims it", func() {
-		leases := &fakeLeases{}
+		leases := &memoryLeases{}
 		claimed, err := ClaimLease(ctx, leases, record, 0)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(claimed).To(Equal(ClaimResult{Fence: 1, Newest: 1, FormerRank: -1}))
 	})
 
 	It("goes on beside records of other writers that can't be read", func() {
-		leases := &fakeLeases{}
+		leases := &memoryLeases{}
 		leases.add("g", 5)
 		leases.records = append(leases.records, StoredRecord{Position: 1, Data: []byte("\xff{")})
 		claimed, err := ClaimLease(ctx, leases, record, 1)
@@ -231,7 +231,7 @@
 	})
 
 	It("isn't claimed from somebody who has just claimed it", func() {
-		leases := &fakeLeases{}
+		leases := &memoryLeases{}
 		leases.add("g", 5)
 		claimed, err := ClaimLease(ctx, leases, record, 0)
 		Expect(err).NotTo(HaveOccurred())
@@ -239,7 +239,7 @@
 	})
 
 	It("is claimed after an agent that forgot everything has learned the history", func() {
-		leases := &fakeLeases{}
+		leases := &memoryLeases{}
 		leases.add("g", 5)
 		leases.add("other", 1)
 		newest, err := CurrentLease(ctx, leases, "g")
@@ -250,7 +250,7 @@
 	})
 
 	It("isn't taken as claimed when the store doesn't answer", func() {
-		_, err := ClaimLease(ctx, &fakeLeases{err: errors.New("down")}, record, 0)
+		_, err := ClaimLease(ctx, &memoryLeases{err: errors.New("down")}, record, 0)
 		Expect(err).To(HaveOccurred())
 	})
 })
@@ -307,7 +307,7 @@
 	const experts, choices = 96, 100_000
 	shape := rebalance.Shape{Ranks: 12, Experts: experts, Layers: 1, Slots: 11}
 	now := time.Unix(1000, 0)
-	look := func(d *Demand, counts []float64) Sample {
+	observe := func(d *Demand, counts []float64) Sample {
 		now = now.Add(150 * time.Millisecond)
 		d.Add(0, counts)
 		return d.EndSample(now)
@@ -315,7 +315,7 @@
 	steady := func() *Demand {
 		d := NewDemand(shape, DefaultPolicy.HalfLife)
 		for range 20 {
-			look(d, zipf(experts, choices, 0))
+			observe(d, zipf(experts, choices, 0))
 		}
 		return d
 	}
@@ -326,21 +326,21 @@
 		for expert, n := range zipf(experts, choices/2, 40) {
 			both[expert] += n
 		}
-		Expect(look(d, both).Jumped).To(BeTrue())
+		Expect(observe(d, both).Jumped).To(BeTrue())
 		Expect(d.Settled()).To(BeFalse(), "the look had passes of both sides")
-		Expect(look(d, zipf(experts, choices, 40)).Jumped).To(BeFalse())
+		Expect(observe(d, zipf(experts, choices, 40)).Jumped).To(BeFalse())
 		Expect(d.Settled()).To(BeTrue())
-		liked := d.Popularity()[0]
-		Expect(liked[40]).To(BeNumerically("~", zipf(experts, choices, 40)[40], 1))
-		Expect(liked[0]).To(BeNumerically("<", liked[40]/10))
+		popularity := d.Popularity()[0]
+		Expect(popularity[40]).To(BeNumerically("~", zipf(experts, choices, 40)[40], 1))
+		Expect(popularity[0]).To(BeNumerically("<", popularity[40]/10))
 	})
 
 	It("isn't seen in a prompt that stands out, nor in few choices", func() {
 		d := steady()
 		prompt := zipf(experts, choices, 0)
 		prompt[77] += 0.15 * choices
-		Expect(look(d, prompt).Jumped).To(BeFalse())
-		Expect(look(d, zipf(experts, 500, 40)).Jumped).To(BeFalse())
+		Expect(observe(d, prompt).Jumped).To(BeFalse())
+		Expect(observe(d, zipf(experts, 500, 40)).Jumped).To(BeFalse())
 		Expect(d.Settled()).To(BeTrue())
 	})
 
@@ -348,7 +348,7 @@
 		d := steady()
 		settled := 0
 		for i := range 40 {
-			look(d, zipf(experts, choices, i*29%experts))
+			observe(d, zipf(experts, choices, i*29%experts))
 			if i >= 20 && d.Settled() {
 				settled++
 			}
@@ -359,7 +359,7 @@
 })
 
 var _ = DescribeTable("the lead of a switch", func(arming, pass time.Duration, want int64) {
-	Expect(lead(arming, pass)).To(Equal(want))
+	Expect(leadPasses(arming, pass)).To(Equal(want))
 },
 	Entry("arming is quick", 12*time.Millisecond, 60*time.Millisecond, int64(0)),
 	Entry("arming takes most of a pass", 45*time.Millisecond, 60*time.Millisecond, int64(2)),
--- a/internal/experts/commands.go
+++ b/internal/experts/commands.go
@@ -14,29 +14,29 @@
 	if s.fenced {
 		return nil
 	}
-	return append(s.stageOrders(), s.strayReleases()...)
+	return append(s.stageCommands(), s.strayReleases()...)
 }
 
-func (s *MapSwitch) stageOrders() []RankCommand {
-	order := Command{Epoch: s.epoch, Fence: s.fence, Version: s.version, Pass: s.pass}
+func (s *MapSwitch) stageCommands() []RankCommand {
+	command := Command{Epoch: s.epoch, Fence: s.fence, Version: s.version, Pass: s.pass}
 	switch s.stage {
 	case StagePrepare:
-		order.Operation, order.Map = Prepare, s.lists
-		return s.toUnconfirmed(order)
+		command.Operation, command.Map = Prepare, s.newMap
+		return s.toUnconfirmed(command)
 	case StageArm:
-		order.Operation = Arm
-		return s.ownLast(s.toUnconfirmed(order))
+		command.Operation = Arm
+		return s.nextArmBatch(s.toUnconfirmed(command))
 	case StageHold:
-		order.Operation = Hold
-		return []RankCommand{{Rank: s.holdRank, Command: order, Direct: true}}
+		command.Operation = Hold
+		return []RankCommand{{Rank: s.holdRank, Command: command, Direct: true}}
 	case StageRelease:
-		order.Operation = Release
-		return []RankCommand{{Rank: s.holdRank, Command: order, Direct: true}}
+		command.Operation = Release
+		return []RankCommand{{Rank: s.holdRank, Command: command, Direct: true}}
 	case StageUndo:
-		return s.disarms(order)
+		return s.disarmCommands(command)
 	case StageBurn:
-		order.Operation, order.Map = Prepare, s.present
-		return s.reachable(s.toUnconfirmed(order))
+		command.Operation, command.Map = Prepare, s.currentMap
+		return s.exceptFormerHolder(s.toUnconfirmed(command))
 	case StageIdle, StageSettle:
 	}
 	return nil
@@ -46,15 +46,15 @@
 // own and the one with the hold, then the latter, then the own. A holder whose
 // VM stops in the first of the three leaves a rank unarmed, which shows that
 // its own isn't armed either.
-func (s *MapSwitch) ownLast(orders []RankCommand) []RankCommand {
+func (s *MapSwitch) nextArmBatch(commands []RankCommand) []RankCommand {
 	var first, second []RankCommand
-	for _, o := range orders {
-		switch o.Rank {
+	for _, c := range commands {
+		switch c.Rank {
 		case s.ownRank:
 		case s.holdRank:
-			second = append(second, o)
+			second = append(second, c)
 		default:
-			first = append(first, o)
+			first = append(first, c)
 		}
 	}
 	switch {
@@ -63,52 +63,52 @@
 	case len(second) > 0:
 		return second
 	default:
-		return orders
+		return commands
 	}
 }
 
 // reachable leaves the former holder's rank out.
-func (s *MapSwitch) reachable(orders []RankCommand) []RankCommand {
-	var others []RankCommand
-	for _, o := range orders {
-		if o.Rank != s.formerRank {
-			others = append(others, o)
+func (s *MapSwitch) exceptFormerHolder(commands []RankCommand) []RankCommand {
+	var rest []RankCommand
+	for _, c := range commands {
+		if c.Rank != s.formerRank {
+			rest = append(rest, c)
 		}
 	}
-	return others
+	return rest
 }
 
 // disarms takes back what the former holder armed.
-func (s *MapSwitch) disarms(order Command) []RankCommand {
-	order.Operation = Disarm
-	var orders []RankCommand
-	for _, o := range s.reachable(s.toUnconfirmed(order)) {
-		if o.Command.Version = s.reports[o.Rank].Armed; o.Command.Version == 0 {
-			o.Command.Version = s.reports[o.Rank].Prepared
+func (s *MapSwitch) disarmCommands(command Command) []RankCommand {
+	command.Operation = Disarm
+	var commands []RankCommand
+	for _, c := range s.exceptFormerHolder(s.toUnconfirmed(command)) {
+		if c.Command.Version = s.reports[c.Rank].Armed; c.Command.Version == 0 {
+			c.Command.Version = s.reports[c.Rank].Prepared
 		}
-		orders = append(orders, o)
+		commands = append(commands, c)
 	}
-	return orders
+	return commands
 }
 
 func (s *MapSwitch) strayReleases() []RankCommand {
-	var orders []RankCommand
-	for rank, pass := range s.strays {
+	var commands []RankCommand
+	for rank, pass := range s.strayHolds {
 		if pass != 0 && s.stage != StageIdle {
-			orders = append(orders, RankCommand{Rank: rank, Command: Command{
+			commands = append(commands, RankCommand{Rank: rank, Command: Command{
 				Operation: Release, Epoch: s.epoch, Fence: s.fence, Pass: pass,
 			}, Direct: true})
 		}
 	}
-	return orders
+	return commands
 }
 
-func (s *MapSwitch) toUnconfirmed(order Command) []RankCommand {
-	var orders []RankCommand
+func (s *MapSwitch) toUnconfirmed(command Command) []RankCommand {
+	var commands []RankCommand
 	for rank, confirmed := range s.confirmed {
 		if !confirmed {
-			orders = append(orders, RankCommand{Rank: rank, Command: order})
+			commands = append(commands, RankCommand{Rank: rank, Command: command})
 		}
 	}
-	return orders
+	return commands
 }
--- a/internal/experts/currentmap.go
+++ b/internal/experts/currentmap.go
@@ -5,10 +5,10 @@
 )
 
 // adoptLists takes the map that the ranks tell as the present one.
-func (h *Holder) adoptLists() {
-	lists, whole := h.listsBySet()
+func (h *Holder) adoptCurrentMap() {
+	lists, complete := h.expertsBySet()
 	h.state.SetCurrentMap(lists)
-	if !whole || !h.state.Ready() {
+	if !complete || !h.state.Ready() {
 		return
 	}
 	placement, err := rebalance.NewPlacementFromLists(h.shape, lists)
@@ -21,16 +21,16 @@
 
 // listsBySet orders what the ranks told by set. Ranks that told nothing get the
 // experts that no other rank has; whole says that there are none.
-func (h *Holder) listsBySet() (lists [][][]int, whole bool) {
-	whole = true
+func (h *Holder) expertsBySet() (lists [][][]int, complete bool) {
+	complete = true
 	lists = make([][][]int, h.shape.Layers)
 	for set := range lists {
 		lists[set] = make([][]int, h.shape.Ranks)
 		held := make([]bool, h.shape.Experts)
-		silent := -1
-		for rank, sets := range h.lists {
+		missing := -1
+		for rank, sets := range h.rankExperts {
 			if len(sets) != h.shape.Layers {
-				silent, whole = rank, false
+				missing, complete = rank, false
 				continue
 			}
 			lists[set][rank] = sets[set]
@@ -39,12 +39,12 @@
 			}
 		}
 		for expert, known := range held {
-			if !known && silent >= 0 {
-				lists[set][silent] = append(lists[set][silent], expert)
+			if !known && missing >= 0 {
+				lists[set][missing] = append(lists[set][missing], expert)
 			}
 		}
 	}
-	return lists, whole
+	return lists, complete
 }
 
 func (h *Holder) mapInUse() int64 { return h.state.reports[0].Map }
--- a/internal/experts/demand.go
+++ b/internal/experts/demand.go
@@ -18,16 +18,16 @@
 // a look that differs from the estimate by much more than looks usually do
 // replaces it.
 type Demand struct {
-	shape    rebalance.Shape
-	halfLife time.Duration
-	smoothed rebalance.Popularity
-	at       time.Time
-	seen     float64
+	shape     rebalance.Shape
+	halfLife  time.Duration
+	smoothed  rebalance.Popularity
+	updatedAt time.Time
+	weight    float64
 	// fresh is what the present look has brought, by set.
-	fresh     rebalance.Popularity
-	freshSeen float64
+	fresh        rebalance.Popularity
+	freshChoices float64
 	// usual is the smoothed distance of looks from the estimate.
-	usual float64
+	baseline float64
 	// unsettled is set after a jump until the next look: that in which the jump showed
 	// had passes of both sides.
 	unsettled bool
@@ -38,36 +38,36 @@
 const (
 	// leastLook is how many choices a look must have brought to be compared: the
 	// distance between two samples of 2,000 choices among 96 experts is 0.12.
-	leastLook = 2000
+	minSampleChoices = 2000
 	// leastJump and jumpOverUsual bound the distance from which on demand has jumped.
 	// In a group of 12 ranks with 45 streams a second, looks differed by 0.04 to 0.21, and
 	// by 0.35 to 0.56 after half to four fifths of what is liked had changed.
-	leastJump     = 0.25
-	jumpOverUsual = 2.0
+	minJumpDistance = 0.25
+	jumpFactor      = 2.0
 	// usualAtFirst and usualWeight are where the smoothed distance begins and the
 	// weight of the newest: some ten looks make the estimate.
-	usualAtFirst = 0.1
-	usualWeight  = 0.1
+	initialBaseline = 0.1
+	baselineWeight  = 0.1
 )
 
 // NewDemand returns an estimate that forgets half of what it knows in a time.
 func NewDemand(shape rebalance.Shape, halfLife time.Duration) *Demand {
 	return &Demand{
-		shape: shape, halfLife: halfLife, usual: usualAtFirst,
+		shape: shape, halfLife: halfLife, baseline: initialBaseline,
 		smoothed: rebalance.NewPopularity(shape), fresh: rebalance.NewPopularity(shape),
 	}
 }
 
 // Observe takes in what a rank's requests chose since the last look: counts set
 // after set, from a place on. Ranks may tell a part of the sets at a time.
-func (d *Demand) Add(from int, chosen []float64) {
-	if from < 0 || from+len(chosen) > d.shape.Layers*d.shape.Experts {
+func (d *Demand) Add(offset int, chosen []float64) {
+	if offset < 0 || offset+len(chosen) > d.shape.Layers*d.shape.Experts {
 		return
 	}
 	for i, n := range chosen {
-		at := from + i
+		at := offset + i
 		d.fresh[at/d.shape.Experts][at%d.shape.Experts] += n
-		d.freshSeen += n
+		d.freshChoices += n
 	}
 }
 
@@ -84,32 +84,32 @@
 
 // EndLook takes the counts of a look into the estimate.
 func (d *Demand) EndSample(now time.Time) Sample {
-	look := Sample{Choices: d.freshSeen, Baseline: d.usual}
-	if look.Choices == 0 {
-		return look
+	sample := Sample{Choices: d.freshChoices, Baseline: d.baseline}
+	if sample.Choices == 0 {
+		return sample
 	}
 	d.decay(now)
-	if d.seen > 0 && look.Choices >= leastLook {
-		d.compare(&look)
+	if d.weight > 0 && sample.Choices >= minSampleChoices {
+		d.detectJump(&sample)
 	}
 	d.merge()
-	return look
+	return sample
 }
 
 // compare looks for a jump between the estimate and the fresh counts.
-func (d *Demand) compare(look *Sample) {
+func (d *Demand) detectJump(sample *Sample) {
 	if d.unsettled {
-		d.forget()
+		d.reset()
 		d.unsettled = false
 		return
 	}
-	look.Distance = d.distance()
-	look.Jumped = look.Distance > max(leastJump, jumpOverUsual*d.usual)
-	d.usual += usualWeight * (look.Distance - d.usual)
-	if look.Jumped {
-		d.forget()
+	sample.Distance = d.distance()
+	sample.Jumped = sample.Distance > max(minJumpDistance, jumpFactor*d.baseline)
+	d.baseline += baselineWeight * (sample.Distance - d.baseline)
+	if sample.Jumped {
+		d.reset()
 		d.unsettled = true
-		d.jumpedAt = d.at
+		d.jumpedAt = d.updatedAt
 	}
 }
 
@@ -130,16 +130,16 @@
 	return total / float64(max(sets, 1))
 }
 
-func (d *Demand) forget() {
-	d.seen = 0
+func (d *Demand) reset() {
+	d.weight = 0
 	for _, set := range d.smoothed {
 		clear(set)
 	}
 }
 
 func (d *Demand) merge() {
-	d.seen += d.freshSeen
-	d.freshSeen = 0
+	d.weight += d.freshChoices
+	d.freshChoices = 0
 	for set, fresh := range d.fresh {
 		for expert, n := range fresh {
 			d.smoothed[set][expert] += n
@@ -150,16 +150,16 @@
 
 // longestDecay bounds what one pause forgets: a group that was stopped goes on
 // with what it knew of the demand.
-const longestDecay = time.Second
+const maxDecayPeriod = time.Second
 
 func (d *Demand) decay(now time.Time) {
-	since := min(now.Sub(d.at), longestDecay)
-	d.at = now
-	if since <= 0 {
+	elapsed := min(now.Sub(d.updatedAt), maxDecayPeriod)
+	d.updatedAt = now
+	if elapsed <= 0 {
 		return
 	}
-	keep := math.Exp2(-since.Seconds() / d.halfLife.Seconds())
-	d.seen *= keep
+	keep := math.Exp2(-elapsed.Seconds() / d.halfLife.Seconds())
+	d.weight *= keep
 	for _, set := range d.smoothed {
 		for expert := range set {
 			set[expert] *= keep
@@ -168,7 +168,7 @@
 }
 
 // Weight is how many choices the estimate rests on.
-func (d *Demand) Weight() float64 { return d.seen }
+func (d *Demand) Weight() float64 { return d.weight }
 
 // JumpedAt is when the last jump was seen; zero when there was none.
 func (d *Demand) JumpedAt() time.Time { return d.jumpedAt }
@@ -180,7 +180,7 @@
 // truth: each token passes all sets, but the counts of some may be newer.
 func (d *Demand) Popularity() rebalance.Popularity {
 	estimate := rebalance.NewPopularity(d.shape)
-	even := d.seen / float64(d.shape.Layers)
+	even := d.weight / float64(d.shape.Layers)
 	for set, counts := range d.smoothed {
 		total := d.smoothed.Total(set)
 		if total == 0 {
--- a/internal/experts/holder.go
+++ b/internal/experts/holder.go
@@ -34,26 +34,26 @@
 
 const (
 	// stagePace is the time between two looks while a switch waits for reports.
-	stagePace = 40 * time.Millisecond
+	switchPollInterval = 40 * time.Millisecond
 	// rankPace is the least time between two looks for each rank: a datagram and its
 	// answer took some 0.1 ms of a VM with a quarter of a core.
-	rankPace = 500 * time.Microsecond
+	pollIntervalPerRank = 500 * time.Microsecond
 	// countBytes is the size of one count in an answer: one or two bytes as a rule.
-	countBytes = 1.5
+	bytesPerCount = 1.5
 	// countsPerLook is how many counts are asked of a rank at once, so that they fit
 	// into a datagram.
-	countsPerLook = 600
+	countsPerQuery = 600
 	// callTimeout bounds a call to a rank's agent, commandTimeout one that carries an
 	// order: an order without an answer is repeated. Both grow by rankTime for each
 	// rank that is called at once, prepare orders by mapTime: whole maps go over HTTP.
-	callTimeout    = 250 * time.Millisecond
-	commandTimeout = 120 * time.Millisecond
-	rankTime       = time.Millisecond
-	mapTime        = 12 * time.Millisecond
+	callTimeout       = 250 * time.Millisecond
+	commandTimeout    = 120 * time.Millisecond
+	timeoutPerRank    = time.Millisecond
+	mapTimeoutPerRank = 12 * time.Millisecond
 	// leastShare keeps the trigger finite for engines without experts.
-	leastShare = 0.01
+	minExpertShare = 0.01
 	// leastChoices is how many choices of experts a plan must rest on.
-	leastChoices = 2000
+	minPlanChoices = 2000
 	// prepareTimeout gives a switch up that isn't prepared everywhere by then.
 	prepareTimeout = 4 * time.Second
 )
@@ -95,29 +95,29 @@
 	shape     rebalance.Shape
 	placement *rebalance.Placement
 	// planned is where the present switch leads, by so many moves.
-	planned *rebalance.Placement
-	moves   int
+	planned      *rebalance.Placement
+	plannedMoves int
 	// copies is how many experts the rank that copies most has to copy for it.
-	copies int
+	plannedCopies int
 	// switchTime is the smoothed time that a switch takes besides its copies.
 	switchTime time.Duration
 	// placementEpoch and placementVersion are those of placement.
 	placementEpoch, placementVersion int64
-	lists                            [][][]int
-	begun                            time.Time
-	highest                          int64
-	stage                            Stage
+	rankExperts                      [][][]int
+	switchStartedAt                  time.Time
+	highestFence                     int64
+	loggedStage                      Stage
 	// armedFrom is when arming began; passTime is the smoothed time of a pass, from
 	// the newest pass seen at passSeenAt.
-	armedFrom  time.Time
-	passTime   time.Duration
-	passSeen   int64
-	passSeenAt time.Time
+	armingStartedAt time.Time
+	passTime        time.Duration
+	lastPass        int64
+	lastPassAt      time.Time
 	// countedAt is when counts were asked for last, countRound how often.
-	countedAt  time.Time
-	countRound int
+	countRoundAt time.Time
+	countRound   int
 	// lost are the ranks that couldn't be observed last time.
-	lost []bool
+	unreachable []bool
 }
 
 // NewHolder returns a holder with a fresh lease. policy is asked before each
@@ -127,11 +127,11 @@
 		Ranks: lease.Size, Experts: lease.Engine.Experts, Layers: lease.Engine.Sets, Slots: lease.Engine.Placements,
 	}
 	state := NewMapSwitch(now(), lease.Fence, lease.OwnRank, lease.FormerRank, lease.Size)
-	state.SetArmingPasses(int64(lease.Size / ranksPerLead))
+	state.SetArmingPasses(int64(lease.Size / ranksPerLeadPass))
 	return &Holder{
 		ranks: ranks, lease: lease, policy: policy, now: now, log: log.WithField("fence", lease.Fence),
 		state: state, demand: NewDemand(shape, policy().HalfLife),
-		planner: rebalance.NewPlanner(shape), shape: shape, lost: make([]bool, lease.Size), switchTime: switchAtFirst,
+		planner: rebalance.NewPlanner(shape), shape: shape, unreachable: make([]bool, lease.Size), switchTime: initialSwitchTime,
 	}
 }
 
@@ -140,11 +140,11 @@
 	for ctx.Err() == nil && !h.superseded() {
 		began := h.now()
 		h.observe(ctx)
-		h.timePasses()
+		h.updatePassTime()
 		h.plan()
-		h.drive(ctx)
-		h.noteStage()
-		wait.For(ctx, h.pace()-h.now().Sub(began))
+		h.sendCommands(ctx)
+		h.logStageChange()
+		wait.For(ctx, h.pollInterval()-h.now().Sub(began))
 	}
 	h.log.Info("no longer holder")
 }
@@ -152,80 +152,80 @@
 func (h *Holder) superseded() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.state.Fenced() || h.highest > h.lease.Fence
+	return h.state.Fenced() || h.highestFence > h.lease.Fence
 }
 
 // observe looks at all ranks at once.
 func (h *Holder) observe(ctx context.Context) {
-	lists := h.placement == nil || h.placementEpoch != h.state.Epoch() ||
+	needExperts := h.placement == nil || h.placementEpoch != h.state.Epoch() ||
 		(h.state.Stage() == StageIdle && h.mapInUse() != h.placementVersion)
-	if lists {
-		h.lists = make([][][]int, h.shape.Ranks)
+	if needExperts {
+		h.rankExperts = make([][][]int, h.shape.Ranks)
 	}
-	counts := h.countsDue()
-	h.each(func(rank int) {
-		ask := Query{Experts: lists}
-		if counts {
-			ask.From, ask.To = h.window(rank)
+	needCounts := h.beginCountRound()
+	h.forEachRank(func(rank int) {
+		query := Query{Experts: needExperts}
+		if needCounts {
+			query.From, query.To = h.countWindow(rank)
 		}
-		ctx, cancel := context.WithTimeout(ctx, h.patience(callTimeout, rankTime))
+		ctx, cancel := context.WithTimeout(ctx, h.scaledTimeout(callTimeout, timeoutPerRank))
 		defer cancel()
-		seen, err := h.ranks.Observe(ctx, rank, h.lease.Fence, ask)
+		observation, err := h.ranks.Observe(ctx, rank, h.lease.Fence, query)
 		h.mu.Lock()
 		defer h.mu.Unlock()
-		h.noteRank(rank, err)
+		h.trackReachability(rank, err)
 		if err != nil {
 			h.state.MarkUnreachable(h.now(), rank)
 			return
 		}
-		h.highest = max(h.highest, seen.Fence)
-		h.state.HandleReport(h.now(), rank, seen.Report)
-		h.demand.Add(seen.Counts.Offset, seen.Counts.Chosen)
-		if lists {
-			h.lists[rank] = seen.Experts
+		h.highestFence = max(h.highestFence, observation.Fence)
+		h.state.HandleReport(h.now(), rank, observation.Report)
+		h.demand.Add(observation.Counts.Offset, observation.Counts.Chosen)
+		if needExperts {
+			h.rankExperts[rank] = observation.Experts
 		}
 	})
-	if lists {
-		h.adoptLists()
+	if needExperts {
+		h.adoptCurrentMap()
 	}
-	h.noteDemand(h.demand.EndSample(h.now()))
+	h.logDemandJump(h.demand.EndSample(h.now()))
 }
 
 // noteDemand logs that demand has jumped.
-func (h *Holder) noteDemand(look Sample) {
-	if !look.Jumped {
+func (h *Holder) logDemandJump(sample Sample) {
+	if !sample.Jumped {
 		return
 	}
 	h.log.WithFields(logrus.Fields{
-		"epoch": h.state.Epoch(), "choices": look.Choices, "distance": look.Distance, "usual": look.Baseline,
+		"epoch": h.state.Epoch(), "choices": sample.Choices, "distance": sample.Distance, "usual": sample.Baseline,
 	}).Info("expert demand has jumped: the estimate begins anew")
 }
 
 // noteStage logs when a switch moves on; each stage ends within some passes.
-func (h *Holder) noteStage() {
+func (h *Holder) logStageChange() {
 	stage := h.state.Stage()
-	if stage != h.stage {
+	if stage != h.loggedStage {
 		h.log.WithFields(logrus.Fields{
-			"stage": stage.String(), "before": h.stage.String(), "version": h.state.Version(), "pass": h.state.pass,
+			"stage": stage.String(), "before": h.loggedStage.String(), "version": h.state.Version(), "pass": h.state.pass,
 		}).Info("switch moved on")
 	}
-	h.stage = stage
+	h.loggedStage = stage
 }
 
 // noteRank logs when a rank is lost or regained.
-func (h *Holder) noteRank(rank int, err error) {
+func (h *Holder) trackReachability(rank int, err error) {
 	log := h.log.WithField("rank", rank)
 	switch {
-	case err != nil && !h.lost[rank]:
+	case err != nil && !h.unreachable[rank]:
 		log.WithError(err).Warn("rank lost")
-	case err == nil && h.lost[rank]:
+	case err == nil && h.unreachable[rank]:
 		log.Info("rank regained")
 	}
-	h.lost[rank] = err != nil
+	h.unreachable[rank] = err != nil
 }
 
 // each runs f for every rank at once.
-func (h *Holder) each(f func(rank int)) {
+func (h *Holder) forEachRank(f func(rank int)) {
 	var all sync.WaitGroup
 	for rank := range h.shape.Ranks {
 		all.Go(func() { f(rank) })
@@ -235,45 +235,45 @@
 
 // drive gives the orders that are due until the state waits for reports, or comes
 // back to a stage: then what the ranks report has to be looked at first.
-func (h *Holder) drive(ctx context.Context) {
-	driven := map[Stage]bool{}
+func (h *Holder) sendCommands(ctx context.Context) {
+	visited := map[Stage]bool{}
 	for ctx.Err() == nil {
-		orders := h.state.PendingCommands()
-		if len(orders) == 0 {
+		commands := h.state.PendingCommands()
+		if len(commands) == 0 {
 			return
 		}
-		stage, pass, due := h.state.Stage(), h.state.pass, len(orders)
-		driven[stage] = true
+		stage, pass, pending := h.state.Stage(), h.state.pass, len(commands)
+		visited[stage] = true
 		var all sync.WaitGroup
-		for _, o := range orders {
-			all.Go(func() { h.command(ctx, o) })
+		for _, command := range commands {
+			all.Go(func() { h.sendCommand(ctx, command) })
 		}
 		all.Wait()
-		h.timeArming(stage)
+		h.updateArmingPasses(stage)
 		same := h.state.Stage() == stage && h.state.pass == pass
-		if h.state.Stage() == StagePrepare || (same && len(h.state.PendingCommands()) >= due) {
+		if h.state.Stage() == StagePrepare || (same && len(h.state.PendingCommands()) >= pending) {
 			return
 		}
-		if h.state.Stage() != stage && driven[h.state.Stage()] {
+		if h.state.Stage() != stage && visited[h.state.Stage()] {
 			return
 		}
 	}
 }
 
-func (h *Holder) command(ctx context.Context, o RankCommand) {
-	each := rankTime
-	if o.Command.Operation == Prepare {
-		each = mapTime
+func (h *Holder) sendCommand(ctx context.Context, command RankCommand) {
+	perRank := timeoutPerRank
+	if command.Command.Operation == Prepare {
+		perRank = mapTimeoutPerRank
 	}
-	ctx, cancel := context.WithTimeout(ctx, h.patience(commandTimeout, each))
+	ctx, cancel := context.WithTimeout(ctx, h.scaledTimeout(commandTimeout, perRank))
 	defer cancel()
-	verdict, err := h.ranks.SendCommand(ctx, o.Rank, o.Command, o.Direct)
+	result, err := h.ranks.SendCommand(ctx, command.Rank, command.Command, command.Direct)
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if err != nil {
 		h.log.WithError(err).WithFields(logrus.Fields{
-			"rank": o.Rank, "stage": h.state.Stage().String(), "version": o.Command.Version, "pass": o.Command.Pass,
+			"rank": command.Rank, "stage": h.state.Stage().String(), "version": command.Command.Version, "pass": command.Command.Pass,
 		}).Info("order not accepted")
 	}
-	h.state.HandleResult(h.now(), o.Rank, o.Command, verdict)
+	h.state.HandleResult(h.now(), command.Rank, command.Command, result)
 }
--- a/internal/experts/holder_test.go
+++ b/internal/experts/holder_test.go
@@ -15,14 +15,14 @@
 
 // heldRanks are three ranks, one of which holds a pass for a former holder at the
 // unreachable rank 1. Rank 0's engine refuses every map.
-type heldRanks struct {
+type ranksWithHold struct {
 	mu       sync.Mutex
 	prepares int
 }
 
 const formerRank = 1
 
-func (r *heldRanks) Observe(_ context.Context, rank int, fence int64, _ Query) (Observation, error) {
+func (r *ranksWithHold) Observe(_ context.Context, rank int, fence int64, _ Query) (Observation, error) {
 	if rank == formerRank {
 		return Observation{}, errors.New("no answer")
 	}
@@ -33,7 +33,7 @@
 	return Observation{Report: report, Fence: fence, Experts: [][]int{{rank}}}, nil
 }
 
-func (r *heldRanks) SendCommand(_ context.Context, rank int, o Command, _ bool) (Result, error) {
+func (r *ranksWithHold) SendCommand(_ context.Context, rank int, o Command, _ bool) (Result, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if o.Operation == Prepare && rank == 0 {
@@ -43,60 +43,60 @@
 	return Accepted, nil
 }
 
-func (r *heldRanks) CountsBandwidth() float64 { return 1e6 }
+func (r *ranksWithHold) CountsBandwidth() float64 { return 1e6 }
 
 // likingRanks are two ranks whose requests choose by a popularity that a spec changes.
 // They copy nothing: a switch stays in its first stage.
-type likingRanks struct {
-	mu       sync.Mutex
-	liked    []float64
-	prepared []Command
+type ranksWithPopularity struct {
+	mu         sync.Mutex
+	popularity []float64
+	prepared   []Command
 }
 
-func (r *likingRanks) Observe(_ context.Context, rank int, fence int64, _ Query) (Observation, error) {
+func (r *ranksWithPopularity) Observe(_ context.Context, rank int, fence int64, _ Query) (Observation, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return Observation{
 		Report: RankReport{Group: "g", Epoch: 1, Rank: rank, Size: 2, Open: true, Pass: 8}, Fence: fence,
-		Counts:  Counts{Epoch: 1, Chosen: r.liked},
+		Counts:  Counts{Epoch: 1, Chosen: r.popularity},
 		Experts: [][]int{{2 * rank, 2*rank + 1}},
 	}, nil
 }
 
-func (r *likingRanks) SendCommand(_ context.Context, _ int, o Command, _ bool) (Result, error) {
+func (r *ranksWithPopularity) SendCommand(_ context.Context, _ int, o Command, _ bool) (Result, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.prepared = append(r.prepared, o)
 	return Accepted, nil
 }
 
-func (r *likingRanks) CountsBandwidth() float64 { return 1e6 }
+func (r *ranksWithPopularity) CountsBandwidth() float64 { return 1e6 }
 
 var _ = Describe("a holder whose ranks still copy", func() {
 	It("gives the switch up when demand has jumped, and plans for what is liked now", func() {
 		logger, _ := logrustest.NewNullLogger()
 		now := time.Unix(1000, 0)
-		ranks := &likingRanks{liked: []float64{9000, 400, 300, 300}}
+		ranks := &ranksWithPopularity{popularity: []float64{9000, 400, 300, 300}}
 		lease := Lease{
 			ClaimResult: ClaimResult{Fence: 2, Newest: 2, FormerRank: -1}, Size: 2,
 			Engine: &fleet.EngineModel{Experts: 4, Sets: 1, Placements: 3, ExpertShare: 1, CopyTime: 400 * time.Millisecond},
 		}
 		h := NewHolder(ranks, lease, func() Policy { return DefaultPolicy }, func() time.Time { return now }, logrus.NewEntry(logger))
-		look := func() {
-			now = now.Add(reportLag)
+		observe := func() {
+			now = now.Add(maxReportAge)
 			h.observe(context.Background())
 			h.plan()
-			h.drive(context.Background())
+			h.sendCommands(context.Background())
 		}
 		for range 4 {
-			look()
+			observe()
 		}
 		Expect(h.state.Stage()).To(Equal(StagePrepare))
 		first := h.state.Version()
-		ranks.liked = []float64{300, 300, 400, 9000}
-		look()
+		ranks.popularity = []float64{300, 300, 400, 9000}
+		observe()
 		Expect(h.state.Version()).To(Equal(first), "the look had passes of both sides")
-		look()
+		observe()
 		Expect(h.state.Stage()).To(Equal(StagePrepare))
 		Expect(h.state.Version()).To(BeNumerically(">", first))
 		newest := ranks.prepared[len(ranks.prepared)-1]
@@ -109,19 +109,19 @@
 	It("looks at the ranks again when undoing what the former one did comes back to where it began", func() {
 		logger, _ := logrustest.NewNullLogger()
 		now := time.Unix(1000, 0)
-		ranks := &heldRanks{}
+		ranks := &ranksWithHold{}
 		lease := Lease{
 			ClaimResult: ClaimResult{Fence: 2, Newest: 2, FormerRank: formerRank}, Size: 3,
 			Engine: &fleet.EngineModel{Experts: 3, Sets: 1, Placements: 2},
 		}
 		h := NewHolder(ranks, lease, func() Policy { return DefaultPolicy }, func() time.Time { return now }, logrus.NewEntry(logger))
 		h.observe(context.Background())
-		now = now.Add(reportLag + time.Millisecond)
+		now = now.Add(maxReportAge + time.Millisecond)
 		h.observe(context.Background())
 		Expect(h.state.Stage()).To(Equal(StageUndo))
 		bounded, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 		defer cancel()
-		h.drive(bounded)
+		h.sendCommands(bounded)
 		Expect(bounded.Err()).NotTo(HaveOccurred(), "it went on without a look")
 		Expect(ranks.prepares).To(Equal(1))
 	})
--- a/internal/experts/lease.go
+++ b/internal/experts/lease.go
@@ -53,7 +53,7 @@
 	if err != nil {
 		return LeaseState{}, err
 	}
-	return newestOf(records, group), nil
+	return newestLease(records, group), nil
 }
 
 // Holders returns the newest lease of each group in the history, by group.
@@ -62,32 +62,32 @@
 	if err != nil {
 		return nil, err
 	}
-	newest := map[string]LeaseState{}
+	newestByGroup := map[string]LeaseState{}
 	for _, r := range records {
-		var lease LeaseRecord
-		if err := json.Unmarshal(r.Data, &lease); err != nil {
+		var record LeaseRecord
+		if err := json.Unmarshal(r.Data, &record); err != nil {
 			continue // nobody's lease
 		}
-		newest[lease.Group] = LeaseState{LeaseRecord: lease, Fence: fenceOf(r.Position)}
+		newestByGroup[record.Group] = LeaseState{LeaseRecord: record, Fence: fenceOf(r.Position)}
 	}
-	held := slices.Collect(maps.Values(newest))
-	slices.SortFunc(held, func(a, b LeaseState) int { return strings.Compare(a.Group, b.Group) })
-	return held, nil
+	leases := slices.Collect(maps.Values(newestByGroup))
+	slices.SortFunc(leases, func(a, b LeaseState) int { return strings.Compare(a.Group, b.Group) })
+	return leases, nil
 }
 
 // newestOf returns the newest lease of a group among records, or one with fence 0 and
 // rank -1.
-func newestOf(records []StoredRecord, group string) LeaseState {
+func newestLease(records []StoredRecord, group string) LeaseState {
 	unreadable := 0
 	newest := LeaseState{LeaseRecord: LeaseRecord{Group: group, Rank: -1}}
 	for _, r := range records {
-		var lease LeaseRecord
-		if err := json.Unmarshal(r.Data, &lease); err != nil {
+		var record LeaseRecord
+		if err := json.Unmarshal(r.Data, &record); err != nil {
 			unreadable++
 			continue
 		}
-		if lease.Group == group {
-			newest = LeaseState{LeaseRecord: lease, Fence: fenceOf(r.Position)}
+		if record.Group == group {
+			newest = LeaseState{LeaseRecord: record, Fence: fenceOf(r.Position)}
 		}
 	}
 	newest.Unreadable = unreadable
@@ -114,7 +114,7 @@
 	if err != nil {
 		return ClaimResult{}, err
 	}
-	newest := newestOf(records, record.Group)
+	newest := newestLease(records, record.Group)
 	if newest.Fence > knownFence {
 		return ClaimResult{Newest: newest.Fence, Unreadable: newest.Unreadable}, nil
 	}
@@ -136,9 +136,11 @@
 const (
 	// silenceBase is how long the agents hear from no holder before one claims the
 	// lease, silenceStep how much longer each next rank waits, so that as a rule one claims.
-	silenceBase = 500 * time.Millisecond
-	silenceStep = 40 * time.Millisecond
+	claimDelayBase    = 500 * time.Millisecond
+	claimDelayPerRank = 40 * time.Millisecond
 )
 
 // Silence is how long the agent of a rank waits for a holder before it claims.
-func ClaimDelay(rank int) time.Duration { return silenceBase + time.Duration(rank)*silenceStep }
+func ClaimDelay(rank int) time.Duration {
+	return claimDelayBase + time.Duration(rank)*claimDelayPerRank
+}
--- a/internal/experts/lease_eras_test.go
+++ b/internal/experts/lease_eras_test.go
@@ -11,40 +11,40 @@
 )
 
 // eraLeases is a history of holders that comes back from copies of itself.
-type eraLeases struct {
-	era     int64
-	records []StoredRecord
-	copied  int
+type restoredStore struct {
+	era          int64
+	records      []StoredRecord
+	backupLength int
 	// returns makes it come back between the read and the append of the next claim.
-	returns bool
+	restoreAfterRead bool
 }
 
-func (s *eraLeases) end() storelog.Position {
+func (s *restoredStore) end() storelog.Position {
 	return storelog.NewPosition(s.era, int64(len(s.records)))
 }
 
-func (s *eraLeases) comeBack() {
+func (s *restoredStore) restore() {
 	s.era++
-	s.records = slices.Clone(s.records[:min(s.copied, len(s.records))])
+	s.records = slices.Clone(s.records[:min(s.backupLength, len(s.records))])
 	for i := range s.records {
 		s.records[i].Position = storelog.NewPosition(s.era, int64(i))
 	}
 }
 
-func (s *eraLeases) ReadLeases(_ context.Context, from storelog.Position) (storelog.Position, []StoredRecord, error) {
+func (s *restoredStore) ReadLeases(_ context.Context, from storelog.Position) (storelog.Position, []StoredRecord, error) {
 	end, first := s.end(), from.Offset()
 	if from.Era() != s.era || from > end {
 		first = 0
 	}
 	records := slices.Clone(s.records[first:])
-	if s.returns {
-		s.returns = false
-		s.comeBack()
+	if s.restoreAfterRead {
+		s.restoreAfterRead = false
+		s.restore()
 	}
 	return end, records, nil
 }
 
-func (s *eraLeases) AppendLease(_ context.Context, end storelog.Position, data []byte) (bool, error) {
+func (s *restoredStore) AppendLease(_ context.Context, end storelog.Position, data []byte) (bool, error) {
 	if end.Offset() != s.end().Offset() {
 		return false, nil
 	}
@@ -55,9 +55,9 @@
 	return true, nil
 }
 
-func TestNoTokenIsGivenTwiceOrFallsHoweverOftenTheHistoryDoes(t *testing.T) {
+func TestFenceIncreasesAcrossStoreRestores(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		store, known, highest := &eraLeases{era: rapid.Int64Range(0, 1).Draw(t, "first era")}, map[string]int64{}, int64(0)
+		store, known, highest := &restoredStore{era: rapid.Int64Range(0, 1).Draw(t, "first era")}, map[string]int64{}, int64(0)
 		claim := func(t *rapid.T) {
 			holder := rapid.SampledFrom([]string{"h1", "h2", "h3"}).Draw(t, "holder")
 			claimed, err := ClaimLease(context.Background(), store, LeaseRecord{Group: "g", Holder: holder}, known[holder])
@@ -74,9 +74,9 @@
 		t.Repeat(map[string]func(*rapid.T){
 			"claim":                   claim,
 			"claim again":             claim,
-			"copy":                    func(*rapid.T) { store.copied = len(store.records) },
-			"come back":               func(*rapid.T) { store.comeBack() },
-			"come back while claimed": func(*rapid.T) { store.returns = true },
+			"copy":                    func(*rapid.T) { store.backupLength = len(store.records) },
+			"come back":               func(*rapid.T) { store.restore() },
+			"come back while claimed": func(*rapid.T) { store.restoreAfterRead = true },
 		})
 	})
 }
--- a/internal/experts/lease_property_test.go
+++ b/internal/experts/lease_property_test.go
@@ -19,22 +19,22 @@
 }
 
 // historyStore keeps leases in memory. It may lose the answer to an append.
-type historyStore struct {
-	records []StoredRecord
-	lose    bool
+type lossyStore struct {
+	records      []StoredRecord
+	loseResponse bool
 }
 
-func (s *historyStore) ReadLeases(_ context.Context, from storelog.Position) (storelog.Position, []StoredRecord, error) {
+func (s *lossyStore) ReadLeases(_ context.Context, from storelog.Position) (storelog.Position, []StoredRecord, error) {
 	end := storelog.Position(len(s.records))
 	return end, s.records[min(from, end):], nil
 }
 
-func (s *historyStore) AppendLease(_ context.Context, end storelog.Position, data []byte) (bool, error) {
+func (s *lossyStore) AppendLease(_ context.Context, end storelog.Position, data []byte) (bool, error) {
 	if end != storelog.Position(len(s.records)) {
 		return false, nil
 	}
 	s.records = append(s.records, StoredRecord{Position: end, Data: data})
-	if s.lose {
+	if s.loseResponse {
 		return false, errors.New("answer lost")
 	}
 	return true, nil
@@ -43,19 +43,19 @@
 // TestLeaseFenceGrows: a claim takes the lease only when its claimer knows the
 // newest one, fencing numbers only grow, no two claimers get the same, and the
 // history names the holder that got it.
-func TestLeaseFenceGrows(t *testing.T) {
+func TestLeaseFenceIncreases(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		store, known := &historyStore{}, map[string]int64{}
+		store, known := &lossyStore{}, map[string]int64{}
 		newest := int64(0)
 		for range 40 {
 			holder := rapid.SampledFrom([]string{"h1", "h2", "h3"}).Draw(t, "holder")
 			group := rapid.SampledFrom([]string{"g", "other"}).Draw(t, "group")
-			store.lose = rapid.Bool().Draw(t, "answer lost")
+			store.loseResponse = rapid.Bool().Draw(t, "answer lost")
 			claimed, err := ClaimLease(context.Background(), store, LeaseRecord{Group: group, Holder: holder}, known[holder+group])
 			if group != "g" {
 				continue
 			}
-			held := newestHeld(t, store, "g")
+			held := currentLease(t, store, "g")
 			if err != nil {
 				newest = held.Fence // nobody knows that it was taken
 				continue
@@ -78,7 +78,7 @@
 	})
 }
 
-func newestHeld(t *rapid.T, store LeaseStore, group string) LeaseState {
+func currentLease(t *rapid.T, store LeaseStore, group string) LeaseState {
 	all, err := CurrentLeases(context.Background(), store)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/experts/model_engine_test.go
+++ b/internal/experts/model_engine_test.go
@@ -11,9 +11,9 @@
 }
 
 // lateOrder has had no answer and is carried out later.
-type lateOrder struct {
-	rank  int
-	order Command
+type delayedCommand struct {
+	rank    int
+	command Command
 }
 
 // apply carries out an order at an engine.
@@ -60,7 +60,7 @@
 }
 
 // canPass tells whether the next pass may begin.
-func (m *modelState) canPass() bool {
+func (m *modelState) canBeginPass() bool {
 	for _, e := range m.engines {
 		if e.held == m.pass+1 {
 			return false
--- a/internal/experts/model_mutants_test.go
+++ b/internal/experts/model_mutants_test.go
@@ -13,15 +13,15 @@
 	// after runs after each event of a holder.
 	after func(s *MapSwitch)
 	// verdict may change what an engine said.
-	verdict func(o Command, v Result) Result
+	result func(o Command, v Result) Result
 	// noEpoch engines take orders of any epoch.
 	noEpoch bool
 	// deaf holders ignore that they are fenced, and agents don't check.
-	deaf bool
+	ignoresFence bool
 }
 
 // counts makes one verdict on one operation count as accepted.
-func counts(operation Operation, as Result) func(Command, Result) Result {
+func treatAsAccepted(operation Operation, as Result) func(Command, Result) Result {
 	return func(o Command, v Result) Result {
 		if o.Operation == operation && v == as {
 			return Accepted
@@ -45,21 +45,21 @@
 	{name: "held before all have prepared, refused arms given up", after: func(s *MapSwitch) {
 		if s.stage == StagePrepare && s.confirmed[0] {
 			s.pass = s.newestPass() + passMargin
-			s.holdRank, s.holdsLeft = (s.ownRank+1)%s.size, holdTries
+			s.holdRank, s.holdAttemptsLeft = (s.ownRank+1)%s.size, maxHoldAttempts
 			s.enter(StageHold)
 		}
-	}, verdict: counts(Arm, Refused)},
-	{name: "an unanswered arm counts as confirmed", verdict: counts(Arm, NoResponse)},
-	{name: "an unanswered hold counts as placed", verdict: counts(Hold, NoResponse)},
+	}, result: treatAsAccepted(Arm, Refused)},
+	{name: "an unanswered arm counts as confirmed", result: treatAsAccepted(Arm, NoResponse)},
+	{name: "an unanswered hold counts as placed", result: treatAsAccepted(Hold, NoResponse)},
 	{name: "a pass is given up after an arm", after: func(s *MapSwitch) {
-		if s.stage == StageArm && s.confirmed[2] && !s.confirmed[1] && s.holdsLeft == holdTries {
-			s.holdsLeft--
+		if s.stage == StageArm && s.confirmed[2] && !s.confirmed[1] && s.holdAttemptsLeft == maxHoldAttempts {
+			s.holdAttemptsLeft--
 			s.pass++
 			s.enter(StageHold)
 		}
 	}},
 	{name: "a successor releases a hold without arming", after: func(s *MapSwitch) {
-		if s.fence == 2 && s.stage == StageArm && s.lists == nil && s.version != s.lastBegun() {
+		if s.fence == 2 && s.stage == StageArm && s.newMap == nil && s.version != s.lastStarted() {
 			s.enter(StageRelease)
 		}
 	}},
@@ -75,19 +75,19 @@
 		}
 	}},
 	{name: "engines and orders don't know epochs", noEpoch: true},
-	{name: "an old holder goes on beside the new one", deaf: true},
+	{name: "an old holder goes on beside the new one", ignoresFence: true},
 }
 
 // lastBegun is the version of the last switch that this holder began itself.
-func (s *MapSwitch) lastBegun() int64 {
-	if s.lists == nil {
+func (s *MapSwitch) lastStarted() int64 {
+	if s.newMap == nil {
 		return 0
 	}
 	return s.version
 }
 
 // TestMutantsAreFound: the check finds each protocol that is broken on purpose.
-func TestMutantsAreFound(t *testing.T) {
+func TestMutantsAreDetected(t *testing.T) {
 	for i := range mutants {
 		t.Run(mutants[i].name, func(t *testing.T) {
 			random := rand.New(rand.NewPCG(2, 2))
--- a/internal/experts/model_test.go
+++ b/internal/experts/model_test.go
@@ -21,25 +21,25 @@
 const (
 	modelRanks  = 3
 	modelPasses = 9
-	modelLate   = 2
+	maxDelayed  = 2
 )
 
 type modelState struct {
 	engines [modelRanks]modelEngine
 	// heard is the highest fence that each rank's agent has heard of.
-	heard    [modelRanks]int64
-	epoch    int64
-	pass     int64
-	late     []lateOrder
-	holders  [2]*MapSwitch
-	began    [2]int
-	reformed bool
+	seenFence [modelRanks]int64
+	epoch     int64
+	pass      int64
+	delayed   []delayedCommand
+	holders   [2]*MapSwitch
+	started   [2]int
+	reformed  bool
 	// cutOff is set while the first holder's VM can't be reached by the second; cuts
 	// counts how often.
-	cutOff bool
-	cuts   int
-	now    int64
-	trace  []string
+	partitioned bool
+	partitions  int
+	now         int64
+	trace       []string
 }
 
 func clock(n int64) time.Time { return time.Unix(1_000_000+n*10, 0) }
@@ -52,7 +52,7 @@
 
 func (m *modelState) clone() *modelState {
 	c := *m
-	c.late = append([]lateOrder(nil), m.late...)
+	c.delayed = append([]delayedCommand(nil), m.delayed...)
 	c.trace = append([]string(nil), m.trace...)
 	for i, h := range m.holders {
 		if h != nil {
@@ -66,26 +66,26 @@
 	c := *s
 	c.confirmed = append([]bool(nil), s.confirmed...)
 	c.reports = append([]RankReport(nil), s.reports...)
-	c.reported = append([]time.Time(nil), s.reported...)
-	c.strays = append([]int64(nil), s.strays...)
-	c.missed = append([]bool(nil), s.missed...)
+	c.reportedAt = append([]time.Time(nil), s.reportedAt...)
+	c.strayHolds = append([]int64(nil), s.strayHolds...)
+	c.unreachable = append([]bool(nil), s.unreachable...)
 	return &c
 }
 
 // key identifies the state apart from the time.
 func (m *modelState) key() string {
 	var b strings.Builder
-	fmt.Fprint(&b, m.engines, m.heard, m.epoch, m.pass, m.reformed, m.began, m.cutOff, m.cuts)
-	for _, l := range m.late {
-		fmt.Fprint(&b, l.rank, l.order.Operation, l.order.Epoch, l.order.Version, l.order.Pass, l.order.Fence)
+	fmt.Fprint(&b, m.engines, m.seenFence, m.epoch, m.pass, m.reformed, m.started, m.partitioned, m.partitions)
+	for _, l := range m.delayed {
+		fmt.Fprint(&b, l.rank, l.command.Operation, l.command.Epoch, l.command.Version, l.command.Pass, l.command.Fence)
 	}
 	for _, h := range m.holders {
 		if h == nil {
 			continue
 		}
-		fmt.Fprint(&b, "|", h.epoch, h.stage, h.version, h.pass, h.holdRank, h.holdsLeft, h.confirmed, h.lastVersion, h.strays, h.fenced, h.missed)
+		fmt.Fprint(&b, "|", h.epoch, h.stage, h.version, h.pass, h.holdRank, h.holdAttemptsLeft, h.confirmed, h.lastVersion, h.strayHolds, h.fenced, h.unreachable)
 		for rank, r := range h.reports {
-			fmt.Fprint(&b, r.Map, r.Prepared, r.Armed, r.Held, r.Pass, h.reported[rank].IsZero())
+			fmt.Fprint(&b, r.Map, r.Prepared, r.Armed, r.Held, r.Pass, h.reportedAt[rank].IsZero())
 		}
 	}
 	return b.String()
@@ -94,16 +94,16 @@
 // observe gives a holder a rank's report, as its agent does.
 func (m *modelState) observe(h, rank int, bad *mutant) {
 	s := m.holders[h]
-	if s.fence < m.heard[rank] && !bad.deaf {
+	if s.fence < m.seenFence[rank] && !bad.ignoresFence {
 		s.fenced = true
 		return
 	}
-	m.heard[rank] = max(m.heard[rank], s.fence)
+	m.seenFence[rank] = max(m.seenFence[rank], s.fence)
 	s.HandleReport(clock(m.now), rank, m.report(rank))
-	bad.settle(s)
+	bad.runAfter(s)
 }
 
-func (bad *mutant) settle(s *MapSwitch) {
+func (bad *mutant) runAfter(s *MapSwitch) {
 	if bad.after != nil {
 		bad.after(s)
 	}
@@ -111,28 +111,28 @@
 
 // command sends one order of a holder. answered tells whether the answer comes
 // back; if not, the order is carried out now or later.
-func (m *modelState) command(h int, o RankCommand, answered, later bool, bad *mutant) {
+func (m *modelState) sendCommand(h int, o RankCommand, responds, delayed bool, bad *mutant) {
 	s := m.holders[h]
-	verdict := Fenced
-	if o.Direct || o.Command.Fence >= m.heard[o.Rank] || bad.deaf {
+	result := Fenced
+	if o.Direct || o.Command.Fence >= m.seenFence[o.Rank] || bad.ignoresFence {
 		if !o.Direct {
-			m.heard[o.Rank] = max(m.heard[o.Rank], o.Command.Fence)
+			m.seenFence[o.Rank] = max(m.seenFence[o.Rank], o.Command.Fence)
 		}
-		if later {
-			m.late = append(m.late, lateOrder{o.Rank, o.Command})
-			verdict = NoResponse
+		if delayed {
+			m.delayed = append(m.delayed, delayedCommand{o.Rank, o.Command})
+			result = NoResponse
 		} else {
-			verdict = m.apply(o.Rank, o.Command, !bad.deaf, !bad.noEpoch)
+			result = m.apply(o.Rank, o.Command, !bad.ignoresFence, !bad.noEpoch)
 		}
 	}
-	if !answered {
-		verdict = NoResponse
+	if !responds {
+		result = NoResponse
 	}
-	if bad.verdict != nil {
-		verdict = bad.verdict(o.Command, verdict)
+	if bad.result != nil {
+		result = bad.result(o.Command, result)
 	}
-	s.HandleResult(clock(m.now), o.Rank, o.Command, verdict)
-	bad.settle(s)
+	s.HandleResult(clock(m.now), o.Rank, o.Command, result)
+	bad.runAfter(s)
 }
 
 // step is one thing that can happen.
@@ -151,19 +151,19 @@
 			return true
 		}})
 	}
-	if m.canPass() {
+	if m.canBeginPass() {
 		steps = append(steps, step{"pass", (*modelState).beginPass})
 	}
-	for i := range m.late {
+	for i := range m.delayed {
 		add(fmt.Sprint("late ", i), func(m *modelState) {
-			l := m.late[i]
-			m.late = append(append([]lateOrder(nil), m.late[:i]...), m.late[i+1:]...)
-			m.apply(l.rank, l.order, false, !bad.noEpoch)
+			l := m.delayed[i]
+			m.delayed = append(append([]delayedCommand(nil), m.delayed[:i]...), m.delayed[i+1:]...)
+			m.apply(l.rank, l.command, false, !bad.noEpoch)
 		})
 	}
 	if m.holders[1] == nil {
 		add("takeover", func(m *modelState) {
-			m.holders[1] = NewMapSwitch(clock(m.now).Add(-reportLag), 2, 1, 0, modelRanks)
+			m.holders[1] = NewMapSwitch(clock(m.now).Add(-maxReportAge), 2, 1, 0, modelRanks)
 		})
 	}
 	if !m.reformed && m.pass > 1 {
@@ -175,10 +175,10 @@
 			}
 		})
 	}
-	if m.cutOff || (m.holders[1] != nil && m.cuts < 2) {
+	if m.partitioned || (m.holders[1] != nil && m.partitions < 2) {
 		add("cut", func(m *modelState) {
-			m.cutOff = !m.cutOff
-			m.cuts++
+			m.partitioned = !m.partitioned
+			m.partitions++
 		})
 	}
 	for h, s := range m.holders {
@@ -186,35 +186,35 @@
 			continue
 		}
 		for rank := range modelRanks {
-			if h == 1 && rank == 0 && m.cutOff {
-				if !s.missed[0] {
+			if h == 1 && rank == 0 && m.partitioned {
+				if !s.unreachable[0] {
 					add("holder 1 misses 0", func(m *modelState) {
 						m.holders[1].MarkUnreachable(clock(m.now), 0)
-						bad.settle(m.holders[1])
+						bad.runAfter(m.holders[1])
 					})
 				}
 				continue
 			}
-			if !same(s.reports[rank], m.report(rank)) || s.reported[rank].IsZero() {
+			if !same(s.reports[rank], m.report(rank)) || s.reportedAt[rank].IsZero() {
 				add(fmt.Sprint("holder ", h, " observes ", rank), func(m *modelState) { m.observe(h, rank, bad) })
 			}
 		}
-		if s.Ready() && m.began[h] < 2 {
+		if s.Ready() && m.started[h] < 2 {
 			add(fmt.Sprint("holder ", h, " begins"), func(m *modelState) {
-				m.began[h]++
+				m.started[h]++
 				m.holders[h].Start(nil)
-				bad.settle(m.holders[h])
+				bad.runAfter(m.holders[h])
 			})
 		}
 		for _, o := range s.PendingCommands() {
-			if h == 1 && o.Rank == 0 && m.cutOff {
+			if h == 1 && o.Rank == 0 && m.partitioned {
 				continue
 			}
 			name := fmt.Sprint("holder ", h, " orders ", o.Rank, " ", o.Command.Operation, " v", o.Command.Version, " p", o.Command.Pass)
-			add(name, func(m *modelState) { m.command(h, o, true, false, bad) })
-			if len(m.late) < modelLate && s.stage != StagePrepare {
-				add(name+", late", func(m *modelState) { m.command(h, o, false, true, bad) })
-				add(name+", answer lost", func(m *modelState) { m.command(h, o, false, false, bad) })
+			add(name, func(m *modelState) { m.sendCommand(h, o, true, false, bad) })
+			if len(m.delayed) < maxDelayed && s.stage != StagePrepare {
+				add(name+", late", func(m *modelState) { m.sendCommand(h, o, false, true, bad) })
+				add(name+", answer lost", func(m *modelState) { m.sendCommand(h, o, false, false, bad) })
 			}
 		}
 	}
@@ -293,7 +293,7 @@
 
 // TestGroupGoesOnAgain: with faults over, the last holder releases every hold,
 // and its next switch completes.
-func TestGroupGoesOnAgain(t *testing.T) {
+func TestGroupRecoversAfterFaults(t *testing.T) {
 	random := rand.New(rand.NewPCG(3, 4))
 	none := &mutant{}
 	for range walks {
@@ -302,22 +302,22 @@
 			t.Fatalf("two maps in one pass:\n%s", strings.Join(trace, "\n"))
 		}
 		if m.holders[1] == nil {
-			m.holders[1] = NewMapSwitch(clock(m.now).Add(-reportLag), 2, 1, 0, modelRanks)
+			m.holders[1] = NewMapSwitch(clock(m.now).Add(-maxReportAge), 2, 1, 0, modelRanks)
 		}
-		m.cutOff = false
-		for len(m.late) > 0 {
-			l := m.late[0]
-			m.late = m.late[1:]
-			m.apply(l.rank, l.order, false, true)
+		m.partitioned = false
+		for len(m.delayed) > 0 {
+			l := m.delayed[0]
+			m.delayed = m.delayed[1:]
+			m.apply(l.rank, l.command, false, true)
 		}
-		if !m.recover(none) {
+		if !m.recovers(none) {
 			t.Fatalf("the group stays stopped, stage %v:\n%s", m.holders[1].stage, strings.Join(m.trace, "\n"))
 		}
 	}
 }
 
 // recover runs the last holder fairly until two more switches are in use.
-func (m *modelState) recover(none *mutant) bool {
+func (m *modelState) recovers(none *mutant) bool {
 	const rounds = 60
 	s := m.holders[1]
 	done := 0
@@ -334,7 +334,7 @@
 			s.Start(nil)
 		}
 		for _, o := range s.PendingCommands() {
-			m.command(1, o, true, false, none)
+			m.sendCommand(1, o, true, false, none)
 		}
 		held := false
 		for _, e := range m.engines {
--- a/internal/experts/policy.go
+++ b/internal/experts/policy.go
@@ -39,7 +39,7 @@
 
 // trigger is the skew from which on a new map pays: the busier the ranks, the
 // longer a pass is without any skew, and the less of it fits.
-func (h *Holder) trigger() float64 {
+func (h *Holder) skewTrigger() float64 {
 	policy, e := h.policy(), h.lease.Engine
 	if e.Step <= 0 || h.lease.MaxEventGap <= 0 {
 		return policy.MinTrigger // nothing tells how long a pass may last
@@ -51,7 +51,7 @@
 	step := e.Step + time.Duration(busiest)*e.StepPerRequest
 	even := float64(e.Stride) * step.Seconds()
 	room := policy.PassFraction * h.lease.MaxEventGap.Seconds() / even
-	skew := (room - (1 - e.ExpertShare)) / max(e.ExpertShare, leastShare)
+	skew := (room - (1 - e.ExpertShare)) / max(e.ExpertShare, minExpertShare)
 	return min(max(skew, policy.MinTrigger), policy.MaxTrigger)
 }
 
--- a/internal/experts/results.go
+++ b/internal/experts/results.go
@@ -5,58 +5,58 @@
 )
 
 // Verdict takes in what a rank's engine said to an order.
-func (s *MapSwitch) HandleResult(now time.Time, rank int, order Command, verdict Result) {
-	if verdict == Fenced {
+func (s *MapSwitch) HandleResult(now time.Time, rank int, command Command, result Result) {
+	if result == Fenced {
 		s.fenced = true
 		return
 	}
-	if verdict == NoResponse && (order.Operation == Arm || order.Operation == Hold) {
-		s.unanswered++
+	if result == NoResponse && (command.Operation == Arm || command.Operation == Hold) {
+		s.timeouts++
 	}
-	if verdict != NoResponse && order.Operation == Release && s.strays[rank] == order.Pass {
-		s.strays[rank] = 0
+	if result != NoResponse && command.Operation == Release && s.strayHolds[rank] == command.Pass {
+		s.strayHolds[rank] = 0
 	}
-	if verdict == NoResponse || !s.current(rank, order) {
+	if result == NoResponse || !s.isCurrent(rank, command) {
 		return
 	}
-	switch order.Operation {
+	switch command.Operation {
 	case Prepare:
 		if s.stage == StageBurn {
-			s.burned(rank, verdict)
+			s.handleBurnResult(rank, result)
 		} else {
-			s.prepared(rank, verdict)
+			s.handlePrepareResult(rank, result)
 		}
 	case Hold:
-		s.held(verdict)
+		s.handleHoldResult(result)
 	case Arm:
-		s.armed(rank, verdict)
+		s.handleArmResult(rank, result)
 	case Release:
-		s.released(now)
+		s.markReleased(now)
 	case Disarm:
-		s.disarmed(rank)
+		s.handleDisarmResult(rank)
 	}
 }
 
 // current tells whether a rank's order belongs to the present stage.
-func (s *MapSwitch) current(rank int, order Command) bool {
-	if order.Epoch != s.epoch {
+func (s *MapSwitch) isCurrent(rank int, command Command) bool {
+	if command.Epoch != s.epoch {
 		return false
 	}
-	if order.Operation == Disarm {
-		return s.stage == StageUndo && order.Pass == s.pass
+	if command.Operation == Disarm {
+		return s.stage == StageUndo && command.Pass == s.pass
 	}
-	if order.Version != s.version {
+	if command.Version != s.version {
 		return false
 	}
-	switch order.Operation {
+	switch command.Operation {
 	case Prepare:
 		return s.stage == StagePrepare || s.stage == StageBurn
 	case Hold:
-		return s.stage == StageHold && order.Pass == s.pass && rank == s.holdRank
+		return s.stage == StageHold && command.Pass == s.pass && rank == s.holdRank
 	case Arm:
-		return s.stage == StageArm && order.Pass == s.pass
+		return s.stage == StageArm && command.Pass == s.pass
 	case Release:
-		return s.stage == StageRelease && order.Pass == s.pass && rank == s.holdRank
+		return s.stage == StageRelease && command.Pass == s.pass && rank == s.holdRank
 	case Disarm:
 	}
 	return false
@@ -64,8 +64,8 @@
 
 // prepared notes that a rank copies the experts. A rank that refuses can't be
 // brought to this map; nothing is armed, so the switch is given up.
-func (s *MapSwitch) prepared(rank int, verdict Result) {
-	if verdict == Accepted || s.reports[rank].Prepared == s.version {
+func (s *MapSwitch) handlePrepareResult(rank int, result Result) {
+	if result == Accepted || s.reports[rank].Prepared == s.version {
 		s.confirmed[rank] = true
 		return
 	}
@@ -73,23 +73,23 @@
 }
 
 // held notes the answer to a hold. A pass that has begun can't be held.
-func (s *MapSwitch) held(verdict Result) {
-	if verdict == Accepted {
+func (s *MapSwitch) handleHoldResult(result Result) {
+	if result == Accepted {
 		s.enter(StageArm)
 		return
 	}
-	s.holdsLeft--
-	if s.holdsLeft == 0 {
+	s.holdAttemptsLeft--
+	if s.holdAttemptsLeft == 0 {
 		s.enter(StageIdle)
 		return
 	}
-	s.pass = max(s.pass+1+s.extra, s.newestPass()+1)
+	s.pass = max(s.pass+1+s.extraPasses, s.newestPass()+1)
 }
 
 // armed notes that a rank switches at the pass. A refusal is tried again: the
 // pass is held, and other ranks may be armed.
-func (s *MapSwitch) armed(rank int, verdict Result) {
-	if verdict != Accepted {
+func (s *MapSwitch) handleArmResult(rank int, result Result) {
+	if result != Accepted {
 		return
 	}
 	s.confirmed[rank] = true
@@ -101,7 +101,7 @@
 	s.enter(StageRelease)
 }
 
-func (s *MapSwitch) released(now time.Time) {
+func (s *MapSwitch) markReleased(now time.Time) {
 	s.releasedAt = now
 	s.enter(StageSettle)
 }
--- a/internal/experts/switch.go
+++ b/internal/experts/switch.go
@@ -8,17 +8,17 @@
 	passMargin = 2
 	// mostExtra bounds the passes that are added to that while orders stay
 	// unanswered: a held pass makes every stream late, a later switch only some.
-	mostExtra = 4
+	maxExtraPasses = 4
 	// mostLead bounds the passes that arming all ranks is planned to take.
-	mostLead = 8
+	maxLeadPasses = 8
 	// holdTries bounds the passes that are tried before a switch is given up. Nothing
 	// is armed by then, so giving up is harmless.
-	holdTries = 40
+	maxHoldAttempts = 40
 	// reportLag is how old an engine's report of itself may be.
-	reportLag = 300 * time.Millisecond
+	maxReportAge = 300 * time.Millisecond
 	// staleHold is how long after a release a reported hold of the same pass counts
 	// as a second one, by an order that was carried out late.
-	staleHold = time.Second
+	releaseGrace = time.Second
 )
 
 // Switch is the protocol by which one holder of a group's lease changes the
@@ -42,41 +42,41 @@
 
 	// formerRank is the rank of the holder before this one, or -1. missed are the
 	// ranks that couldn't be reached since their last report.
-	formerRank int
-	missed     []bool
-
-	epoch     int64
-	stage     Stage
-	version   int64
-	pass      int64
-	holdRank  int
-	holdsLeft int
+	formerRank  int
+	unreachable []bool
+
+	epoch            int64
+	stage            Stage
+	version          int64
+	pass             int64
+	holdRank         int
+	holdAttemptsLeft int
 	// extra passes are added to the margin; unanswered counts the orders of this
 	// switch that had no answer. lead is how many passes it takes to arm all ranks.
-	extra, unanswered, lead int64
-	lists                   [][][]int
+	extraPasses, timeouts, leadPasses int64
+	newMap                            [][][]int
 	// present is the map in use, as far as it is known.
-	present   [][][]int
-	confirmed []bool
-	reports   []RankReport
-	reported  []time.Time
+	currentMap [][][]int
+	confirmed  []bool
+	reports    []RankReport
+	reportedAt []time.Time
 	// lastVersion is the highest version seen in this epoch.
 	lastVersion int64
 	releasedAt  time.Time
 	// strays are passes that ranks hold without this switch: orders that were carried
 	// out late. 0 means none.
-	strays []int64
-	fenced bool
+	strayHolds []int64
+	fenced     bool
 }
 
 // NewSwitch returns the protocol's state of a new holder whose own rank is
 // ownRank, in a group of a size. formerRank is that of the holder before it, or -1.
 func NewMapSwitch(now time.Time, fence int64, ownRank, formerRank, size int) *MapSwitch {
 	return &MapSwitch{
-		fence: fence, ownRank: ownRank, formerRank: formerRank, size: size, trustFrom: now.Add(reportLag),
-		missed:    make([]bool, size),
-		confirmed: make([]bool, size), reports: make([]RankReport, size), reported: make([]time.Time, size),
-		strays: make([]int64, size),
+		fence: fence, ownRank: ownRank, formerRank: formerRank, size: size, trustFrom: now.Add(maxReportAge),
+		unreachable: make([]bool, size),
+		confirmed:   make([]bool, size), reports: make([]RankReport, size), reportedAt: make([]time.Time, size),
+		strayHolds: make([]int64, size),
 	}
 }
 
@@ -100,15 +100,15 @@
 	if r.Epoch > s.epoch {
 		s.startEpoch(r.Epoch)
 	}
-	s.reports[rank], s.reported[rank], s.missed[rank] = r, now, false
+	s.reports[rank], s.reportedAt[rank], s.unreachable[rank] = r, now, false
 	s.lastVersion = max(s.lastVersion, r.Map, r.Prepared, r.Armed)
-	s.strays[rank] = s.stray(now, rank, r.Held)
+	s.strayHolds[rank] = s.strayHold(now, rank, r.Held)
 	s.advance(now)
 }
 
 // Missed notes that a rank couldn't be reached.
 func (s *MapSwitch) MarkUnreachable(now time.Time, rank int) {
-	s.missed[rank] = !now.Before(s.trustFrom)
+	s.unreachable[rank] = !now.Before(s.trustFrom)
 	s.advance(now)
 }
 
@@ -117,17 +117,17 @@
 func (s *MapSwitch) startEpoch(epoch int64) {
 	s.epoch, s.stage = epoch, StageIdle
 	s.version, s.pass, s.lastVersion = 0, 0, 0
-	s.lists = nil
+	s.newMap = nil
 	s.releasedAt = time.Time{}
 	for rank := range s.size {
-		s.confirmed[rank], s.reports[rank], s.reported[rank], s.strays[rank] = false, RankReport{}, time.Time{}, 0
+		s.confirmed[rank], s.reports[rank], s.reportedAt[rank], s.strayHolds[rank] = false, RankReport{}, time.Time{}, 0
 	}
 }
 
 // complete tells whether every rank has reported recently enough to be trusted.
-func (s *MapSwitch) complete() bool {
+func (s *MapSwitch) allReported() bool {
 	for rank := range s.size {
-		if s.reported[rank].IsZero() || s.reported[rank].Before(s.trustFrom) {
+		if s.reportedAt[rank].IsZero() || s.reportedAt[rank].Before(s.trustFrom) {
 			return false
 		}
 	}
@@ -137,7 +137,7 @@
 // Ready tells whether a new switch may begin: the group is open, and all ranks
 // use one map with nothing armed or held.
 func (s *MapSwitch) Ready() bool {
-	if s.stage != StageIdle || s.fenced || !s.complete() {
+	if s.stage != StageIdle || s.fenced || !s.allReported() {
 		return false
 	}
 	for _, r := range s.reports {
@@ -150,17 +150,17 @@
 
 // Begin starts the switch to a map, given as the experts by set and rank.
 func (s *MapSwitch) Start(lists [][][]int) {
-	s.lists = lists
+	s.newMap = lists
 	s.version = s.lastVersion + 1
 	s.lastVersion = s.version
-	s.extra = max(min(s.unanswered, mostExtra), s.lead)
-	s.unanswered = 0
+	s.extraPasses = max(min(s.timeouts, maxExtraPasses), s.leadPasses)
+	s.timeouts = 0
 	s.enter(StagePrepare)
 }
 
 // SetLead tells how many passes it takes to arm all ranks, so that the next
 // switch holds a pass that is far enough ahead.
-func (s *MapSwitch) SetArmingPasses(passes int64) { s.lead = min(passes, mostLead) }
+func (s *MapSwitch) SetArmingPasses(passes int64) { s.leadPasses = min(passes, maxLeadPasses) }
 
 func (s *MapSwitch) enter(stage Stage) {
 	s.stage = stage
@@ -176,13 +176,13 @@
 		s.resolveHold(now)
 	case StagePrepare:
 		if s.all(func(r RankReport) bool { return r.Prepared == s.version }) {
-			s.pass = s.newestPass() + passMargin + s.extra
-			s.holdRank, s.holdsLeft = (s.ownRank+1)%s.size, holdTries
+			s.pass = s.newestPass() + passMargin + s.extraPasses
+			s.holdRank, s.holdAttemptsLeft = (s.ownRank+1)%s.size, maxHoldAttempts
 			s.enter(StageHold)
 		}
 	case StageRelease:
 		if s.newestPass() >= s.pass {
-			s.released(now)
+			s.markReleased(now)
 		}
 	case StageSettle:
 		if s.all(func(r RankReport) bool { return r.Map == s.version }) {
@@ -203,7 +203,7 @@
 
 func (s *MapSwitch) all(ok func(RankReport) bool) bool {
 	for rank, r := range s.reports {
-		if s.reported[rank].IsZero() || !ok(r) {
+		if s.reportedAt[rank].IsZero() || !ok(r) {
 			return false
 		}
 	}
--- a/internal/experts/takeover.go
+++ b/internal/experts/takeover.go
@@ -12,10 +12,10 @@
 		return
 	}
 	switch {
-	case s.complete():
+	case s.allReported():
 		s.holdRank, s.pass = rank, s.reports[rank].Held
-		s.finish()
-	case s.formerHolderSilent() && s.someUnarmed():
+		s.completeSwitch()
+	case s.onlyFormerHolderMissing() && s.anyUnarmed():
 		s.holdRank, s.pass = rank, s.reports[rank].Held
 		s.enter(StageUndo)
 	}
@@ -24,8 +24,8 @@
 // heldRank returns a rank that holds a pass, or -1.
 func (s *MapSwitch) heldRank(now time.Time) int {
 	for rank, r := range s.reports {
-		trusted := !s.reported[rank].IsZero() && !s.reported[rank].Before(s.trustFrom)
-		if trusted && r.Held != 0 && !s.releasedLately(now, r.Held) {
+		trusted := !s.reportedAt[rank].IsZero() && !s.reportedAt[rank].Before(s.trustFrom)
+		if trusted && r.Held != 0 && !s.recentlyReleased(now, r.Held) {
 			return rank
 		}
 	}
@@ -34,11 +34,11 @@
 
 // formerHolderSilent tells whether every rank has reported but that of the
 // former holder, which can't be reached.
-func (s *MapSwitch) formerHolderSilent() bool {
+func (s *MapSwitch) onlyFormerHolderMissing() bool {
 	for rank := range s.size {
-		known := !s.reported[rank].IsZero() && !s.reported[rank].Before(s.trustFrom)
+		known := !s.reportedAt[rank].IsZero() && !s.reportedAt[rank].Before(s.trustFrom)
 		if rank == s.formerRank {
-			if known || !s.missed[rank] {
+			if known || !s.unreachable[rank] {
 				return false
 			}
 		} else if !known {
@@ -50,7 +50,7 @@
 
 // someUnarmed tells whether a rank that reports isn't armed. Then the former
 // holder's own rank isn't either, and it can't have released the hold.
-func (s *MapSwitch) someUnarmed() bool {
+func (s *MapSwitch) anyUnarmed() bool {
 	for rank, r := range s.reports {
 		if rank != s.formerRank && r.Armed == 0 {
 			return true
@@ -59,15 +59,15 @@
 	return false
 }
 
-func (s *MapSwitch) releasedLately(now time.Time, pass int64) bool {
-	return pass == s.pass && now.Sub(s.releasedAt) < staleHold
+func (s *MapSwitch) recentlyReleased(now time.Time, pass int64) bool {
+	return pass == s.pass && now.Sub(s.releasedAt) < releaseGrace
 }
 
 // stray returns a held pass that this switch doesn't hold or has released. While
 // idle, resolveHold looks at it instead: an earlier holder may have armed ranks.
-func (s *MapSwitch) stray(now time.Time, rank int, held int64) int64 {
+func (s *MapSwitch) strayHold(now time.Time, rank int, held int64) int64 {
 	own := held == s.pass && rank == s.holdRank && s.stage != StageSettle
-	if held == 0 || s.stage == StageIdle || own || s.releasedLately(now, held) {
+	if held == 0 || s.stage == StageIdle || own || s.recentlyReleased(now, held) {
 		return 0
 	}
 	return held
@@ -77,7 +77,7 @@
 // when every rank has prepared the map, and Arm may have been sent to any of
 // them since, so all are armed before the release: undoing could meet an Arm
 // that is carried out late.
-func (s *MapSwitch) finish() {
+func (s *MapSwitch) completeSwitch() {
 	prepared := s.reports[0].Prepared
 	if prepared > s.reports[0].Map && s.all(func(r RankReport) bool { return r.Prepared == prepared }) {
 		s.version = prepared
@@ -89,8 +89,8 @@
 }
 
 // disarmed notes that a rank isn't armed. A refusal says the same.
-func (s *MapSwitch) disarmed(rank int) {
-	if s.confirmReachable(rank) {
+func (s *MapSwitch) handleDisarmResult(rank int) {
+	if s.confirm(rank) {
 		s.version = s.lastVersion + 1
 		s.lastVersion = s.version
 		s.enter(StageBurn)
@@ -99,12 +99,12 @@
 
 // burned notes what a rank said to the version that is never used. A refusal
 // means that an Arm was carried out late, or that the rank has had the version.
-func (s *MapSwitch) burned(rank int, verdict Result) {
-	if verdict != Accepted {
+func (s *MapSwitch) handleBurnResult(rank int, result Result) {
+	if result != Accepted {
 		s.enter(StageUndo)
 		return
 	}
-	if s.confirmReachable(rank) {
+	if s.confirm(rank) {
 		s.version = s.reports[rank].Map
 		s.enter(StageRelease)
 	}
@@ -112,7 +112,7 @@
 
 // confirmReachable notes a rank's confirmation. It tells whether all but the
 // former holder's have confirmed.
-func (s *MapSwitch) confirmReachable(rank int) bool {
+func (s *MapSwitch) confirm(rank int) bool {
 	s.confirmed[rank] = true
 	for other, confirmed := range s.confirmed {
 		if !confirmed && other != s.formerRank {
@@ -123,4 +123,4 @@
 }
 
 // SetPresent tells the map in use, as far as it is known.
-func (s *MapSwitch) SetCurrentMap(lists [][][]int) { s.present = lists }
+func (s *MapSwitch) SetCurrentMap(lists [][][]int) { s.currentMap = lists }
--- a/internal/experts/timing.go
+++ b/internal/experts/timing.go
@@ -7,92 +7,92 @@
 
 const (
 	// passWeight is the weight of the newest measured pass time.
-	passWeight = 0.2
+	passTimeWeight = 0.2
 	// worthLead is the part of a pass from which on arming is worth a lead: below it,
 	// the pass is hardly ever held. leadSpare is added to what the last arming took.
-	worthLead = 0.5
-	leadSpare = 1
+	minLeadFraction = 0.5
+	leadMargin      = 1
 	// ranksPerLead is how many ranks make one pass of lead until an arming has been
 	// measured.
-	ranksPerLead = 24
+	ranksPerLeadPass = 24
 )
 
 // timePasses follows how long a pass takes.
-func (h *Holder) timePasses() {
+func (h *Holder) updatePassTime() {
 	newest, now := h.state.newestPass(), h.now()
-	if passes := newest - h.passSeen; passes > 0 && h.passSeen > 0 {
-		took := now.Sub(h.passSeenAt) / time.Duration(passes)
+	if passes := newest - h.lastPass; passes > 0 && h.lastPass > 0 {
+		took := now.Sub(h.lastPassAt) / time.Duration(passes)
 		if h.passTime == 0 {
 			h.passTime = took
 		}
-		h.passTime += time.Duration(passWeight * float64(took-h.passTime))
+		h.passTime += time.Duration(passTimeWeight * float64(took-h.passTime))
 	}
-	if newest != h.passSeen {
-		h.passSeen, h.passSeenAt = newest, now
+	if newest != h.lastPass {
+		h.lastPass, h.lastPassAt = newest, now
 	}
 }
 
 // timeArming measures how long it takes to arm all ranks: a pass that is held
 // for longer than it would have taken to come makes every stream late.
-func (h *Holder) timeArming(before Stage) {
+func (h *Holder) updateArmingPasses(before Stage) {
 	now := h.now()
 	switch {
 	case before == StageHold && h.state.Stage() == StageArm:
-		h.armedFrom = now
-	case before == StageArm && h.state.Stage() != StageArm && h.passTime > 0 && !h.armedFrom.IsZero():
-		h.state.SetArmingPasses(lead(now.Sub(h.armedFrom), h.passTime))
-		h.armedFrom = time.Time{}
+		h.armingStartedAt = now
+	case before == StageArm && h.state.Stage() != StageArm && h.passTime > 0 && !h.armingStartedAt.IsZero():
+		h.state.SetArmingPasses(leadPasses(now.Sub(h.armingStartedAt), h.passTime))
+		h.armingStartedAt = time.Time{}
 	}
 }
 
 // lead is how many passes ahead a pass must be held when arming takes a time.
-func lead(arming, pass time.Duration) int64 {
+func leadPasses(arming, pass time.Duration) int64 {
 	passes := float64(arming) / float64(pass)
-	if passes < worthLead {
+	if passes < minLeadFraction {
 		return 0
 	}
-	return int64(math.Ceil(passes)) + leadSpare
+	return int64(math.Ceil(passes)) + leadMargin
 }
 
 // pace is the time between two looks at all ranks.
-func (h *Holder) pace() time.Duration {
-	pace := h.policy().ObserveInterval
+func (h *Holder) pollInterval() time.Duration {
+	interval := h.policy().ObserveInterval
 	if h.state.Stage() != StageIdle {
-		pace = stagePace
+		interval = switchPollInterval
 	}
-	return max(pace, time.Duration(h.shape.Ranks)*rankPace)
+	return max(interval, time.Duration(h.shape.Ranks)*pollIntervalPerRank)
 }
 
 // windows is into how many parts the sets are divided, so that the counts of one
 // part fit into an answer.
-func (h *Holder) windows() int {
-	perPart := max(countsPerLook/h.shape.Experts, 1)
-	return (h.shape.Layers + perPart - 1) / perPart
+func (h *Holder) countWindows() int {
+	setsPerWindow := max(countsPerQuery/h.shape.Experts, 1)
+	return (h.shape.Layers + setsPerWindow - 1) / setsPerWindow
 }
 
 // window returns which counts a rank is asked for this time: the ranks tell
 // different parts, and each the next part at the next time.
-func (h *Holder) window(rank int) (from, to int) {
-	windows := h.windows()
-	part := (rank + h.countRound) % windows
-	from, to = part*h.shape.Layers/windows, (part+1)*h.shape.Layers/windows
+func (h *Holder) countWindow(rank int) (from, to int) {
+	windows := h.countWindows()
+	index := (rank + h.countRound) % windows
+	from, to = index*h.shape.Layers/windows, (index+1)*h.shape.Layers/windows
 	return from * h.shape.Experts, to * h.shape.Experts
 }
 
 // countsDue tells whether counts may be asked for again: those of large groups
 // would fill the holder's link.
-func (h *Holder) countsDue() bool {
-	bytes := countBytes * float64(h.shape.Ranks*h.shape.Layers*h.shape.Experts) / float64(h.windows())
-	apart := time.Duration(bytes / max(h.ranks.CountsBandwidth(), 1) * float64(time.Second))
-	if h.now().Sub(h.countedAt) < apart {
+func (h *Holder) beginCountRound() bool {
+	bytes := bytesPerCount * float64(h.shape.Ranks*h.shape.Layers*h.shape.Experts) / float64(h.countWindows())
+	interval := time.Duration(bytes / max(h.ranks.CountsBandwidth(), 1) * float64(time.Second))
+	if h.now().Sub(h.countRoundAt) < interval {
 		return false
 	}
-	h.countedAt = h.now()
+	h.countRoundAt = h.now()
 	h.countRound++
 	return true
 }
 
 // patience is a timeout that grows with the ranks that are called at once.
-func (h *Holder) patience(base, each time.Duration) time.Duration {
-	return base + time.Duration(h.shape.Ranks)*each
+func (h *Holder) scaledTimeout(base, perRank time.Duration) time.Duration {
+	return base + time.Duration(h.shape.Ranks)*perRank
 }
--- a/internal/experts/types.go
+++ b/internal/experts/types.go
@@ -90,6 +90,6 @@
 )
 
 // String names the verdict for logs.
-func (v Result) String() string {
-	return [...]string{"unanswered", "accepted", "refused", "fenced"}[v]
+func (r Result) String() string {
+	return [...]string{"unanswered", "accepted", "refused", "fenced"}[r]
 }
--- a/internal/platformdaemon/agent.go
+++ b/internal/platformdaemon/agent.go
@@ -97,7 +97,7 @@
 	if err != nil {
 		return errors.Wrap(err, "rank calls")
 	}
-	group.Go(func() error { return ranks.Listen(tasks, datagrams, service, "", a.log) })
+	group.Go(func() error { return ranks.Serve(tasks, datagrams, service, "", a.log) })
 	group.Go(func() error {
 		a.followMembers(tasks)
 		return nil
--- a/internal/ranks/client.go
+++ b/internal/ranks/client.go
@@ -18,7 +18,7 @@
 type client struct {
 	group     string
 	directory Directory
-	link      *link
+	udp       *udpClient
 	// http carries what is too large for a datagram.
 	http *http.Client
 	// local is this process's own agent, at rank ownRank.
@@ -26,19 +26,19 @@
 	ownRank int
 	engine  experts.Engine
 	// room is how many bytes of counts a second may come over the VM's link.
-	room float64
+	countsBandwidth float64
 
 	mu sync.Mutex // a leaf
 	// places is where each rank was last: registrations lapse while a zone is cut off,
 	// and come back seconds after the rank itself.
-	places map[int]Endpoints
+	lastEndpoints map[int]Endpoints
 	// maps bounds the maps that are on their way at once.
-	maps *semaphore.Weighted
+	mapTransfers *semaphore.Weighted
 	// told is the map of the last prepare order, and difference what was sent of it.
-	told       namedMap
-	difference *peerrpc.MapDifference
+	lastMap        versionedMap
+	lastDifference *peerrpc.MapDifference
 	// silent are the ranks whose agents didn't answer; it's true while one is probed.
-	silent map[int]bool
+	unresponsive map[int]bool
 }
 
 // probeTimeout bounds a call to a silent agent, whose engine is asked directly
@@ -48,188 +48,188 @@
 
 // mapsAtOnce is how many maps are on their way at once: more would queue on the
 // smallest VMs' link, 8 Mbit/s, for longer than a call waits before it's repeated.
-const mapsAtOnce = 16
+const maxMapTransfers = 16
 
 // remoteTry bounds one try of an order to an engine on another VM: some round
 // trips between zones.
-const remoteTry = 20 * time.Millisecond
+const remoteAttemptTimeout = 20 * time.Millisecond
 
 // agentTimeout bounds a call to an agent when the caller sets no bound.
-const agentTimeout = 600 * time.Millisecond
+const defaultAgentTimeout = 600 * time.Millisecond
 
 // agentPart is the part of a call's time that an agent may take, so that time is
 // left to ask its engine.
-const agentPart = 0.6
+const agentTimeFraction = 0.6
 
 // patience is how long a call to an agent may take.
-func (c *client) patience(ctx context.Context) time.Duration {
+func (c *client) agentTimeout(ctx context.Context) time.Duration {
 	deadline, bounded := ctx.Deadline()
 	if !bounded {
-		return agentTimeout
+		return defaultAgentTimeout
 	}
-	return time.Duration(agentPart * float64(time.Until(deadline)))
+	return time.Duration(agentTimeFraction * float64(time.Until(deadline)))
 }
 
 // Room implements experts.Ranks.
-func (c *client) CountsBandwidth() float64 { return c.room }
+func (c *client) CountsBandwidth() float64 { return c.countsBandwidth }
 
 // place returns where a rank is, or was last. Who is there tells its own rank, so
 // an address that has changed hands shows.
-func (c *client) place(rank int) (Endpoints, error) {
-	at, err := c.directory.Endpoints(c.group, rank)
+func (c *client) endpoints(rank int) (Endpoints, error) {
+	to, err := c.directory.Endpoints(c.group, rank)
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if err == nil {
-		c.places[rank] = at
-		return at, nil
+		c.lastEndpoints[rank] = to
+		return to, nil
 	}
-	if last, known := c.places[rank]; known {
+	if last, known := c.lastEndpoints[rank]; known {
 		return last, nil
 	}
 	return Endpoints{}, err
 }
 
 // check tells whether a report is that of a rank of this group.
-func (c *client) check(rank int, at Endpoints, report experts.RankReport) error {
+func (c *client) checkIdentity(rank int, to Endpoints, report experts.RankReport) error {
 	if report.Group != c.group || report.Rank != rank {
-		return errors.Errorf("server %s is rank %d of group %q, not rank %d of %s", at.Server, report.Rank, report.Group, rank, c.group)
+		return errors.Errorf("server %s is rank %d of group %q, not rank %d of %s", to.Server, report.Rank, report.Group, rank, c.group)
 	}
 	return nil
 }
 
-func (c *client) isSilent(rank int) bool {
+func (c *client) isUnresponsive(rank int) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	_, silent := c.silent[rank]
+	_, silent := c.unresponsive[rank]
 	return silent
 }
 
-func (c *client) markSilent(rank int) {
+func (c *client) markUnresponsive(rank int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.silent[rank] = false
+	c.unresponsive[rank] = false
 }
 
 // beginProbe tells whether a silent agent is to be probed now.
 func (c *client) beginProbe(rank int) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if probed, silent := c.silent[rank]; !silent || probed {
+	if probed, silent := c.unresponsive[rank]; !silent || probed {
 		return false
 	}
-	c.silent[rank] = true
+	c.unresponsive[rank] = true
 	return true
 }
 
 // endProbe notes whether a silent agent has answered.
-func (c *client) endProbe(rank int, answered bool) {
+func (c *client) endProbe(rank int, responded bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if answered {
-		delete(c.silent, rank)
+	if responded {
+		delete(c.unresponsive, rank)
 		return
 	}
-	c.silent[rank] = false
+	c.unresponsive[rank] = false
 }
 
 // probe calls a silent agent in the background, so that it hears of its holder as
 // soon as it can, and is asked first again.
-func (c *client) probe(ctx context.Context, rank int, at Endpoints, fence int64) {
+func (c *client) probe(ctx context.Context, rank int, to Endpoints, fence int64) {
 	if !c.beginProbe(rank) {
 		return
 	}
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), probeTimeout)
 	go func() {
 		defer cancel()
-		_, err := c.observeAgent(ctx, at, fence, experts.Query{})
+		_, err := c.observeAgent(ctx, to, fence, experts.Query{})
 		c.endProbe(rank, err == nil)
 	}()
 }
 
 // agent returns a client of the agent at a place.
-func (c *client) agent(at Endpoints) peerrpc.Ranks {
-	return peerrpc.NewRanksProtobufClient("http://"+at.Agent, c.http)
+func (c *client) agentClient(to Endpoints) peerrpc.Ranks {
+	return peerrpc.NewRanksProtobufClient("http://"+to.Agent, c.http)
 }
 
 // Observe implements experts.Ranks. When the rank's agent can't be reached, its
 // engine is asked for its state alone.
-func (c *client) Observe(ctx context.Context, rank int, fence int64, ask experts.Query) (experts.Observation, error) {
+func (c *client) Observe(ctx context.Context, rank int, fence int64, query experts.Query) (experts.Observation, error) {
 	if rank == c.ownRank {
-		return c.local.Observe(ctx, fence, ask)
+		return c.local.Observe(ctx, fence, query)
 	}
-	at, err := c.place(rank)
+	to, err := c.endpoints(rank)
 	if err != nil {
 		return experts.Observation{}, err
 	}
-	if c.isSilent(rank) {
-		c.probe(ctx, rank, at, fence)
+	if c.isUnresponsive(rank) {
+		c.probe(ctx, rank, to, fence)
 	} else {
-		seen, err := c.observeAgent(ctx, at, fence, ask)
-		if err == nil && seen.Fence > fence {
-			return seen, nil // another holder's; nothing else is told
+		observation, err := c.observeAgent(ctx, to, fence, query)
+		if err == nil && observation.Fence > fence {
+			return observation, nil // another holder's; nothing else is told
 		}
 		if err == nil {
-			return seen, c.check(rank, at, seen.Report)
+			return observation, c.checkIdentity(rank, to, observation.Report)
 		}
-		c.markSilent(rank)
+		c.markUnresponsive(rank)
 	}
-	report, err := c.engine.Report(ctx, at.Engine)
-	seen := experts.Observation{Report: report, Fence: fence}
+	report, err := c.engine.Report(ctx, to.Engine)
+	observation := experts.Observation{Report: report, Fence: fence}
 	if err == nil {
-		err = c.check(rank, at, report)
+		err = c.checkIdentity(rank, to, report)
 	}
-	if err == nil && ask.Experts {
-		seen.Experts, err = c.engine.Experts(ctx, at.Engine)
+	if err == nil && query.Experts {
+		observation.Experts, err = c.engine.Experts(ctx, to.Engine)
 	}
-	return seen, err
+	return observation, err
 }
 
-func (c *client) observeAgent(ctx context.Context, at Endpoints, fence int64, ask experts.Query) (experts.Observation, error) {
-	ctx, cancel := context.WithTimeout(ctx, c.patience(ctx))
+func (c *client) observeAgent(ctx context.Context, to Endpoints, fence int64, query experts.Query) (experts.Observation, error) {
+	ctx, cancel := context.WithTimeout(ctx, c.agentTimeout(ctx))
 	defer cancel()
-	answer, err := c.link.call(ctx, at.Agent, &peerrpc.RankCall{Observe: &peerrpc.ObserveRequest{
-		Fence: fence, Lists: ask.Experts, CountsFrom: int32(ask.From), CountsTo: int32(ask.To),
+	response, err := c.udp.call(ctx, to.Agent, &peerrpc.RankCall{Observe: &peerrpc.ObserveRequest{
+		Fence: fence, Lists: query.Experts, CountsFrom: int32(query.From), CountsTo: int32(query.To),
 	}})
 	if err != nil {
-		return experts.Observation{}, errors.Wrapf(err, "agent of server %s", at.Server)
+		return experts.Observation{}, errors.Wrapf(err, "agent of server %s", to.Server)
 	}
-	reply := answer.GetObserve()
+	reply := response.GetObserve()
 	if reply.GetFailure() != "" {
-		return experts.Observation{}, errors.Errorf("agent of server %s: %s", at.Server, reply.GetFailure())
+		return experts.Observation{}, errors.Errorf("agent of server %s: %s", to.Server, reply.GetFailure())
 	}
-	seen := experts.Observation{
-		Report: decodeState(reply.GetState()), Fence: reply.GetFence(), Counts: experts.Counts{Offset: ask.From},
+	observation := experts.Observation{
+		Report: decodeState(reply.GetState()), Fence: reply.GetFence(), Counts: experts.Counts{Offset: query.From},
 	}
 	for _, n := range reply.GetChosen() {
-		seen.Counts.Chosen = append(seen.Counts.Chosen, float64(n))
+		observation.Counts.Chosen = append(observation.Counts.Chosen, float64(n))
 	}
 	for _, set := range reply.GetExperts() {
-		seen.Experts = append(seen.Experts, decodeExperts(set))
+		observation.Experts = append(observation.Experts, decodeExperts(set))
 	}
-	return seen, nil
+	return observation, nil
 }
 
 // Command implements experts.Ranks. When the rank's agent can't be reached, the
 // order goes straight to the engine, if that refuses old fences itself. Without
 // that, only the agent keeps a former holder's orders away.
-func (c *client) SendCommand(ctx context.Context, rank int, order experts.Command, direct bool) (experts.Result, error) {
+func (c *client) SendCommand(ctx context.Context, rank int, command experts.Command, direct bool) (experts.Result, error) {
 	if rank == c.ownRank {
-		return c.local.Execute(ctx, order)
+		return c.local.Execute(ctx, command)
 	}
-	at, err := c.place(rank)
+	to, err := c.endpoints(rank)
 	if err != nil {
 		return experts.NoResponse, err
 	}
-	if at.ChecksFence && (direct || c.isSilent(rank)) {
-		return experts.Retry(ctx, remoteTry, func(ctx context.Context) (experts.Result, error) {
-			return c.engine.Execute(ctx, at.Engine, order)
+	if to.ChecksFence && (direct || c.isUnresponsive(rank)) {
+		return experts.Retry(ctx, remoteAttemptTimeout, func(ctx context.Context) (experts.Result, error) {
+			return c.engine.Execute(ctx, to.Engine, command)
 		})
 	}
-	ctx, cancel := context.WithTimeout(ctx, c.patience(ctx))
+	ctx, cancel := context.WithTimeout(ctx, c.agentTimeout(ctx))
 	defer cancel()
-	reply, err := c.commandAgent(ctx, rank, at, order)
+	reply, err := c.commandAgent(ctx, rank, to, command)
 	if err != nil {
-		return experts.NoResponse, errors.Wrapf(err, "agent of server %s", at.Server)
+		return experts.NoResponse, errors.Wrapf(err, "agent of server %s", to.Server)
 	}
 	if reply.GetDetail() != "" {
 		return experts.Result(reply.GetVerdict()), errors.New(reply.GetDetail())
@@ -239,43 +239,43 @@
 
 // commandAgent gives an agent an order as a datagram, or over HTTP when that is
 // too small for the order's map.
-func (c *client) commandAgent(ctx context.Context, rank int, at Endpoints, order experts.Command) (*peerrpc.CommandReply, error) {
-	request := encodeOrder(order)
+func (c *client) commandAgent(ctx context.Context, rank int, to Endpoints, command experts.Command) (*peerrpc.CommandReply, error) {
+	request := encodeCommand(command)
 	request.Group, request.Rank = c.group, int32(rank)
-	if len(order.Map) > 0 {
-		if err := c.maps.Acquire(ctx, 1); err != nil {
+	if len(command.Map) > 0 {
+		if err := c.mapTransfers.Acquire(ctx, 1); err != nil {
 			return nil, errors.Wrap(err, "waiting to send a map")
 		}
-		defer c.maps.Release(1)
-		request.Difference = c.differenceOf(order)
+		defer c.mapTransfers.Release(1)
+		request.Difference = c.mapDifference(command)
 	}
 	call := &peerrpc.RankCall{Command: request}
 	if proto.Size(call) <= maxDatagram {
-		answer, err := c.link.call(ctx, at.Agent, call)
-		if err != nil || !answer.GetCommand().GetBaseUnknown() {
-			return answer.GetCommand(), err
+		response, err := c.udp.call(ctx, to.Agent, call)
+		if err != nil || !response.GetCommand().GetBaseUnknown() {
+			return response.GetCommand(), err
 		}
-		if len(order.Map) == 0 {
+		if len(command.Map) == 0 {
 			return nil, errors.New("the order has no map, but the agent lacks the base of one")
 		}
 	}
-	request.Map, request.Difference = encodeMap(order.Map), nil
-	return c.agent(at).Command(ctx, request)
+	request.Map, request.Difference = encodeMap(command.Map), nil
+	return c.agentClient(to).Command(ctx, request)
 }
 
 // differenceOf returns how the map of a prepare order differs from that of the
 // one before it, or from the default map. It's worked out once for all ranks.
-func (c *client) differenceOf(order experts.Command) *peerrpc.MapDifference {
+func (c *client) mapDifference(command experts.Command) *peerrpc.MapDifference {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	next := namedMap{epoch: order.Epoch, fence: order.Fence, version: order.Version, lists: order.Map}
-	if c.told.sameHolder(next) && c.told.version == next.version {
-		return c.difference
+	next := versionedMap{epoch: command.Epoch, fence: command.Fence, version: command.Version, lists: command.Map}
+	if c.lastMap.sameHolder(next) && c.lastMap.version == next.version {
+		return c.lastDifference
 	}
-	base := c.told
+	base := c.lastMap
 	if !base.sameHolder(next) {
-		base = namedMap{lists: defaultMap(len(order.Map), len(order.Map[0]), expertsOf(order.Map))}
+		base = versionedMap{lists: defaultMap(len(command.Map), len(command.Map[0]), expertCount(command.Map))}
 	}
-	c.told, c.difference = next, difference(base, order.Map)
-	return c.difference
+	c.lastMap, c.lastDifference = next, encodeDifference(base, command.Map)
+	return c.lastDifference
 }
--- a/internal/ranks/codec.go
+++ b/internal/ranks/codec.go
@@ -38,7 +38,7 @@
 }
 
 // encodeOrder leaves the map out.
-func encodeOrder(o experts.Command) *peerrpc.CommandRequest {
+func encodeCommand(o experts.Command) *peerrpc.CommandRequest {
 	return &peerrpc.CommandRequest{
 		Fence: o.Fence, Operation: int32(o.Operation), Epoch: o.Epoch, Version: o.Version, Pass: o.Pass,
 	}
--- a/internal/ranks/difference.go
+++ b/internal/ranks/difference.go
@@ -8,13 +8,13 @@
 
 // namedMap is an expert map, the experts by set and rank, with its name: the
 // versions of two holders may be the same and mean different maps.
-type namedMap struct {
+type versionedMap struct {
 	epoch, fence, version int64
 	lists                 [][][]int
 }
 
 // sameHolder tells whether two maps come from one holder in one epoch.
-func (m namedMap) sameHolder(other namedMap) bool {
+func (m versionedMap) sameHolder(other versionedMap) bool {
 	return m.epoch == other.epoch && m.fence == other.fence
 }
 
@@ -32,16 +32,16 @@
 
 // maxLists bounds the lists and the experts of a map that is worked out from a
 // message: four times those of 256 ranks with 256 experts in 60 sets.
-const maxLists = 1 << 16
+const maxMapEntries = 1 << 16
 
 // plausible tells whether a difference has the shape of a map.
-func plausible(d *peerrpc.MapDifference) bool {
+func validDifference(d *peerrpc.MapDifference) bool {
 	sets, ranks, experts := int64(d.GetSets()), int64(d.GetRanks()), int64(d.GetExperts())
-	return sets > 0 && ranks > 0 && experts > 0 && sets*ranks <= maxLists && sets*experts <= maxLists
+	return sets > 0 && ranks > 0 && experts > 0 && sets*ranks <= maxMapEntries && sets*experts <= maxMapEntries
 }
 
 // expertsOf is the number of experts in a map's first set.
-func expertsOf(lists [][][]int) int {
+func expertCount(lists [][][]int) int {
 	highest := -1
 	for _, rank := range lists[0] {
 		for _, expert := range rank {
@@ -52,9 +52,9 @@
 }
 
 // difference says how a map differs from a base of the same shape.
-func difference(base namedMap, lists [][][]int) *peerrpc.MapDifference {
+func encodeDifference(base versionedMap, lists [][][]int) *peerrpc.MapDifference {
 	sets, ranks := len(lists), len(lists[0])
-	d := &peerrpc.MapDifference{Base: base.version, Sets: int32(sets), Ranks: int32(ranks), Experts: int32(expertsOf(lists))}
+	d := &peerrpc.MapDifference{Base: base.version, Sets: int32(sets), Ranks: int32(ranks), Experts: int32(expertCount(lists))}
 	for set := range sets {
 		for rank, list := range lists[set] {
 			if slices.Equal(list, base.lists[set][rank]) {
@@ -71,7 +71,7 @@
 
 // apply returns the map that differs so from a base, or false when the two
 // don't fit together. The base stays as it is.
-func apply(base [][][]int, d *peerrpc.MapDifference) ([][][]int, bool) {
+func applyDifference(base [][][]int, d *peerrpc.MapDifference) ([][][]int, bool) {
 	sets, ranks := int(d.GetSets()), int(d.GetRanks())
 	if len(base) != sets {
 		return nil, false
--- a/internal/ranks/leader.go
+++ b/internal/ranks/leader.go
@@ -85,31 +85,31 @@
 
 const (
 	// silencePace is how often an agent looks for what it needs before it can claim.
-	silencePace = 50 * time.Millisecond
+	pollInterval = 50 * time.Millisecond
 	// silenceLook bounds the wait until a holder may have been silent for long enough:
 	// the engine's rank, or its group, may change meanwhile.
-	silenceLook = 250 * time.Millisecond
+	maxPollInterval = 250 * time.Millisecond
 	// claimTimeout bounds a claim of the lease.
 	claimTimeout = 1500 * time.Millisecond
 	// claimPause is kept after a claim that failed.
-	claimPause = 500 * time.Millisecond
+	claimRetryDelay = 500 * time.Millisecond
 )
 
 // Run claims and steers until the context ends. Somebody else has to keep the
 // agent's report of its engine fresh.
 func (l *Leader) Run(ctx context.Context) {
-	l.learnFence(ctx)
+	l.loadFence(ctx)
 	for ctx.Err() == nil {
 		report := l.agent.LastReport()
-		fence, silent := l.agent.SinceHolderCall()
-		if left := experts.ClaimDelay(report.Rank) - silent; left > 0 || report.Size == 0 {
-			wait.For(ctx, min(max(left, silencePace), silenceLook))
+		fence, elapsed := l.agent.SinceHolderCall()
+		if remaining := experts.ClaimDelay(report.Rank) - elapsed; remaining > 0 || report.Size == 0 {
+			wait.For(ctx, min(max(remaining, pollInterval), maxPollInterval))
 			continue
 		}
-		if terms, known := l.directory.Parameters(report.Group); known {
-			l.claim(ctx, report, terms, fence)
+		if parameters, known := l.directory.Parameters(report.Group); known {
+			l.claim(ctx, report, parameters, fence)
 		}
-		wait.For(ctx, silencePace)
+		wait.For(ctx, pollInterval)
 	}
 }
 
@@ -118,9 +118,9 @@
 // process of this daemon was the holder, it claims at once: when all daemons are killed
 // and start again, that and the pace of members at their start bring the first map
 // into use 0.5 to 0.9 s sooner.
-func (l *Leader) learnFence(ctx context.Context) {
+func (l *Leader) loadFence(ctx context.Context) {
 	for ctx.Err() == nil && l.agent.LastReport().Size == 0 {
-		wait.For(ctx, silencePace)
+		wait.For(ctx, pollInterval)
 	}
 	ctx, cancel := context.WithTimeout(ctx, claimTimeout)
 	defer cancel()
@@ -138,7 +138,7 @@
 }
 
 // claim tries to get the lease and steers the group while it has it.
-func (l *Leader) claim(ctx context.Context, report experts.RankReport, terms Parameters, knownFence int64) {
+func (l *Leader) claim(ctx context.Context, report experts.RankReport, parameters Parameters, knownFence int64) {
 	claiming, cancel := context.WithTimeout(ctx, claimTimeout)
 	claimed, err := experts.ClaimLease(claiming, l.store,
 		experts.LeaseRecord{Group: report.Group, Holder: l.options.Daemon, Rank: report.Rank}, knownFence)
@@ -149,7 +149,7 @@
 	})
 	if err != nil {
 		log.WithError(err).Info("lease not claimed: the store gave no answer")
-		wait.For(ctx, claimPause)
+		wait.For(ctx, claimRetryDelay)
 		return
 	}
 	l.agent.ObserveFence(claimed.Newest)
@@ -158,32 +158,32 @@
 		return
 	}
 	log.Info("lease claimed")
-	l.steer(ctx, report, terms, claimed)
+	l.lead(ctx, report, parameters, claimed)
 }
 
 // steer is the holder until another has a higher fence.
-func (l *Leader) steer(ctx context.Context, report experts.RankReport, terms Parameters, claimed experts.ClaimResult) {
-	link, err := newLink(l.options.IP, seal{key: []byte(l.options.Key)}, rand.Uint64())
+func (l *Leader) lead(ctx context.Context, report experts.RankReport, parameters Parameters, claimed experts.ClaimResult) {
+	link, err := newUDPClient(l.options.IP, authenticator{key: []byte(l.options.Key)}, rand.Uint64())
 	if err != nil {
 		l.log.WithError(err).Error("the group can't be steered from here")
-		wait.For(ctx, claimPause)
+		wait.For(ctx, claimRetryDelay)
 		return
 	}
 	defer link.close()
 	ranks := &client{
-		group: report.Group, directory: l.directory, link: link, http: l.http,
-		local: l.agent, ownRank: report.Rank, engine: l.engine, room: l.options.CountsBandwidth, silent: map[int]bool{}, places: map[int]Endpoints{}, maps: semaphore.NewWeighted(mapsAtOnce),
+		group: report.Group, directory: l.directory, udp: link, http: l.http,
+		local: l.agent, ownRank: report.Rank, engine: l.engine, countsBandwidth: l.options.CountsBandwidth, unresponsive: map[int]bool{}, lastEndpoints: map[int]Endpoints{}, mapTransfers: semaphore.NewWeighted(maxMapTransfers),
 	}
-	lease := experts.Lease{ClaimResult: claimed, Size: report.Size, OwnRank: report.Rank, Engine: terms.Engine, MaxEventGap: terms.MaxEventGap}
+	lease := experts.Lease{ClaimResult: claimed, Size: report.Size, OwnRank: report.Rank, Engine: parameters.Engine, MaxEventGap: parameters.MaxEventGap}
 	if trail := l.options.AuditTrail; trail != nil {
 		trail.LeaseClaimed(report.Group, claimed.Fence)
 		lease.OnMapChange = func(change experts.MapChange) { trail.MapChanged(report.Group, change) }
 	}
 	policy := func() experts.Policy {
 		if now, known := l.directory.Parameters(report.Group); known {
-			terms = now
+			parameters = now
 		}
-		return terms.Policy
+		return parameters.Policy
 	}
 	experts.NewHolder(ranks, lease, policy, time.Now, l.log).Run(ctx)
 }
--- a/internal/ranks/ranks_test.go
+++ b/internal/ranks/ranks_test.go
@@ -34,9 +34,9 @@
 
 // fakeEngine accepts every order and remembers it.
 type fakeEngine struct {
-	mu     sync.Mutex
-	orders []experts.Command
-	counts []float64
+	mu       sync.Mutex
+	commands []experts.Command
+	counts   []float64
 }
 
 func (e *fakeEngine) Report(context.Context, string) (experts.RankReport, error) {
@@ -57,14 +57,14 @@
 func (e *fakeEngine) Execute(_ context.Context, _ string, o experts.Command) (experts.Result, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.orders = append(e.orders, o)
+	e.commands = append(e.commands, o)
 	return experts.Accepted, nil
 }
 
-func (e *fakeEngine) given() []experts.Command {
+func (e *fakeEngine) executed() []experts.Command {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return append([]experts.Command(nil), e.orders...)
+	return append([]experts.Command(nil), e.commands...)
 }
 
 // portTries bounds how many ports listenBoth looks at.
@@ -114,52 +114,52 @@
 }
 
 // place is where the only other rank of the specs is.
-type place struct{ at Endpoints }
+type fixedDirectory struct{ endpoints Endpoints }
 
-func (p place) Endpoints(string, int) (Endpoints, error) {
-	if p.at.Server == "" {
+func (p fixedDirectory) Endpoints(string, int) (Endpoints, error) {
+	if p.endpoints.Server == "" {
 		return Endpoints{}, errors.New("not registered")
 	}
-	return p.at, nil
+	return p.endpoints, nil
 }
 
-func (p place) Parameters(string) (Parameters, bool) { return Parameters{}, false }
+func (p fixedDirectory) Parameters(string) (Parameters, bool) { return Parameters{}, false }
 
 var _ = Describe("calls between agents", func() {
 	const key = "secret"
 	var engine *fakeEngine
-	var answers *lossyConn
-	var overHTTP *httptest.Server
+	var responses *lossyConn
+	var httpServer *httptest.Server
 	var httpCalls int
 	ctx := context.Background()
 
 	// connect returns a holder's client of an agent, whose link has a key.
 	connect := func(linkKey string) *client {
 		conn, listener := listenBoth()
-		answers = &lossyConn{PacketConn: conn}
+		responses = &lossyConn{PacketConn: conn}
 		service := newService(engine)
 		calls := peerrpc.NewRanksServer(service)
-		overHTTP = httptest.NewUnstartedServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		httpServer = httptest.NewUnstartedServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			httpCalls++
 			calls.ServeHTTP(w, r)
 		}))
-		Expect(overHTTP.Listener.Close()).To(Succeed())
-		overHTTP.Listener = listener
-		overHTTP.Start()
+		Expect(httpServer.Listener.Close()).To(Succeed())
+		httpServer.Listener = listener
+		httpServer.Start()
 		listening, stop := context.WithCancel(ctx)
 		ended := make(chan error, 1)
-		go func() { ended <- Listen(listening, answers, service, key, quietLog()) }()
-		l, err := newLink("127.0.0.1", seal{key: []byte(linkKey)}, 100)
+		go func() { ended <- Serve(listening, responses, service, key, quietLog()) }()
+		l, err := newUDPClient("127.0.0.1", authenticator{key: []byte(linkKey)}, 100)
 		Expect(err).NotTo(HaveOccurred())
 		DeferCleanup(func() {
-			overHTTP.Close()
+			httpServer.Close()
 			l.close()
 			stop()
 			Expect(<-ended).NotTo(HaveOccurred())
 		})
 		return &client{
-			group: "g", link: l, http: http.DefaultClient, ownRank: 0, engine: engine, silent: map[int]bool{}, places: map[int]Endpoints{}, maps: semaphore.NewWeighted(mapsAtOnce),
-			directory: place{Endpoints{Server: "s", Agent: conn.LocalAddr().String()}},
+			group: "g", udp: l, http: http.DefaultClient, ownRank: 0, engine: engine, unresponsive: map[int]bool{}, lastEndpoints: map[int]Endpoints{}, mapTransfers: semaphore.NewWeighted(maxMapTransfers),
+			directory: fixedDirectory{Endpoints{Server: "s", Agent: conn.LocalAddr().String()}},
 		}
 	}
 
@@ -175,59 +175,59 @@
 		c := connect(key)
 		_, err := c.Observe(bounded(5*time.Second), 1, 4, experts.Query{})
 		Expect(err).NotTo(HaveOccurred())
-		seen, err := c.Observe(bounded(5*time.Second), 1, 4, experts.Query{From: 2, To: 5, Experts: true})
+		observation, err := c.Observe(bounded(5*time.Second), 1, 4, experts.Query{From: 2, To: 5, Experts: true})
 		Expect(err).NotTo(HaveOccurred())
-		Expect(seen.Report.Pass).To(Equal(int64(9)))
-		Expect(seen.Counts).To(Equal(experts.Counts{Offset: 2, Chosen: []float64{3, 4, 5}}))
-		Expect(seen.Experts).To(Equal([][]int{{1}}))
+		Expect(observation.Report.Pass).To(Equal(int64(9)))
+		Expect(observation.Counts).To(Equal(experts.Counts{Offset: 2, Chosen: []float64{3, 4, 5}}))
+		Expect(observation.Experts).To(Equal([][]int{{1}}))
 		Expect(httpCalls).To(BeZero())
 	})
 
 	It("are sent again when a datagram is lost", func() {
 		c := connect(key)
-		answers.mu.Lock()
-		answers.drop = 2
-		answers.mu.Unlock()
-		verdict, err := c.SendCommand(bounded(10*time.Second), 1, experts.Command{Operation: experts.Hold, Pass: 3, Fence: 1}, false)
+		responses.mu.Lock()
+		responses.drop = 2
+		responses.mu.Unlock()
+		result, err := c.SendCommand(bounded(10*time.Second), 1, experts.Command{Operation: experts.Hold, Pass: 3, Fence: 1}, false)
 		Expect(err).NotTo(HaveOccurred())
-		Expect(verdict).To(Equal(experts.Accepted))
-		Expect(len(engine.given())).To(BeNumerically(">=", 3))
+		Expect(result).To(Equal(experts.Accepted))
+		Expect(len(engine.executed())).To(BeNumerically(">=", 3))
 	})
 
 	It("aren't taken from who doesn't know the key", func() {
 		c := connect("another")
 		_, err := c.SendCommand(bounded(200*time.Millisecond), 1, experts.Command{Operation: experts.Hold, Pass: 3, Fence: 1}, false)
 		Expect(err).To(HaveOccurred())
-		Expect(engine.given()).To(BeEmpty())
+		Expect(engine.executed()).To(BeEmpty())
 	})
 
 	It("reach an agent again as soon as it can be reached, without waiting for it meanwhile", func() {
 		c := connect(key)
 		reachable := c.directory
-		c.directory = place{Endpoints{Server: "s", Agent: "127.0.0.1:1", Engine: "127.0.0.1:2", ChecksFence: true}}
-		looks := func() experts.Observation {
-			seen, err := c.Observe(bounded(300*time.Millisecond), 1, 4, experts.Query{To: 6})
+		c.directory = fixedDirectory{Endpoints{Server: "s", Agent: "127.0.0.1:1", Engine: "127.0.0.1:2", ChecksFence: true}}
+		observe := func() experts.Observation {
+			observation, err := c.Observe(bounded(300*time.Millisecond), 1, 4, experts.Query{To: 6})
 			Expect(err).NotTo(HaveOccurred())
-			return seen
+			return observation
 		}
-		Expect(looks().Report.Pass).To(Equal(int64(9)), "as the engine tells")
-		Expect(c.isSilent(1)).To(BeTrue())
+		Expect(observe().Report.Pass).To(Equal(int64(9)), "as the engine tells")
+		Expect(c.isUnresponsive(1)).To(BeTrue())
 		c.directory = reachable
 		Eventually(func() bool {
-			looks()
-			return c.isSilent(1)
+			observe()
+			return c.isUnresponsive(1)
 		}, "10s").Should(BeFalse())
-		Expect(looks().Counts.Chosen).NotTo(BeEmpty(), "as only the agent tells")
+		Expect(observe().Counts.Chosen).NotTo(BeEmpty(), "as only the agent tells")
 	})
 
 	It("go where a rank was last while it isn't registered", func() {
 		c := connect(key)
 		_, err := c.Observe(bounded(5*time.Second), 1, 4, experts.Query{})
 		Expect(err).NotTo(HaveOccurred())
-		c.directory = place{}
-		seen, err := c.Observe(bounded(5*time.Second), 1, 4, experts.Query{})
+		c.directory = fixedDirectory{}
+		observation, err := c.Observe(bounded(5*time.Second), 1, 4, experts.Query{})
 		Expect(err).NotTo(HaveOccurred())
-		Expect(seen.Report.Pass).To(Equal(int64(9)))
+		Expect(observation.Report.Pass).To(Equal(int64(9)))
 		_, err = c.Observe(bounded(5*time.Second), 2, 4, experts.Query{})
 		Expect(err).To(MatchError("not registered"))
 	})
@@ -236,30 +236,30 @@
 		c := connect(key)
 		_, err := c.Observe(bounded(5*time.Second), 2, 4, experts.Query{})
 		Expect(err).To(MatchError(ContainSubstring("is rank 1")))
-		verdict, err := c.SendCommand(bounded(5*time.Second), 2, experts.Command{Operation: experts.Arm, Pass: 3, Fence: 4}, false)
+		result, err := c.SendCommand(bounded(5*time.Second), 2, experts.Command{Operation: experts.Arm, Pass: 3, Fence: 4}, false)
 		Expect(err).To(MatchError(ContainSubstring("this is rank 1")))
-		Expect(verdict).To(Equal(experts.Refused))
-		Expect(engine.given()).To(BeEmpty())
+		Expect(result).To(Equal(experts.Refused))
+		Expect(engine.executed()).To(BeEmpty())
 	})
 
 	It("go to no engine directly that takes orders with old fencing numbers", func() {
 		c := connect(key)
-		c.directory = place{Endpoints{Server: "s", Agent: "127.0.0.1:1", Engine: "127.0.0.1:2"}}
+		c.directory = fixedDirectory{Endpoints{Server: "s", Agent: "127.0.0.1:1", Engine: "127.0.0.1:2"}}
 		_, err := c.SendCommand(bounded(200*time.Millisecond), 1, experts.Command{Operation: experts.Hold, Pass: 3, Fence: 1}, true)
 		Expect(err).To(HaveOccurred())
-		Expect(engine.given()).To(BeEmpty())
-		c.directory = place{Endpoints{Server: "s", Agent: "127.0.0.1:1", Engine: "127.0.0.1:2", ChecksFence: true}}
-		verdict, err := c.SendCommand(bounded(200*time.Millisecond), 1, experts.Command{Operation: experts.Hold, Pass: 3, Fence: 1}, true)
+		Expect(engine.executed()).To(BeEmpty())
+		c.directory = fixedDirectory{Endpoints{Server: "s", Agent: "127.0.0.1:1", Engine: "127.0.0.1:2", ChecksFence: true}}
+		result, err := c.SendCommand(bounded(200*time.Millisecond), 1, experts.Command{Operation: experts.Hold, Pass: 3, Fence: 1}, true)
 		Expect(err).NotTo(HaveOccurred())
-		Expect(verdict).To(Equal(experts.Accepted))
+		Expect(result).To(Equal(experts.Accepted))
 	})
 
 	prepare := func(c *client, version int64, lists [][][]int) {
-		verdict, err := c.SendCommand(bounded(5*time.Second), 1, experts.Command{Operation: experts.Prepare, Epoch: 1, Version: version, Fence: 1, Map: lists}, false)
+		result, err := c.SendCommand(bounded(5*time.Second), 1, experts.Command{Operation: experts.Prepare, Epoch: 1, Version: version, Fence: 1, Map: lists}, false)
 		Expect(err).NotTo(HaveOccurred())
-		Expect(verdict).To(Equal(experts.Accepted))
-		given := engine.given()
-		Expect(given[len(given)-1].Map).To(Equal(lists))
+		Expect(result).To(Equal(experts.Accepted))
+		commands := engine.executed()
+		Expect(commands[len(commands)-1].Map).To(Equal(lists))
 	}
 
 	It("tell maps as differences, and whole to an agent that lacks the base", func() {
@@ -269,9 +269,9 @@
 		prepare(c, 2, [][][]int{{{0, 2}, {1, 3, 0}}})
 		Expect(httpCalls).To(BeZero())
 		// This agent has only seen version 2.
-		forgetful := connect(key)
-		forgetful.told, forgetful.difference = c.told, c.difference
-		prepare(forgetful, 3, [][][]int{{{0, 2, 3}, {1, 3}}})
+		behind := connect(key)
+		behind.lastMap, behind.lastDifference = c.lastMap, c.lastDifference
+		prepare(behind, 3, [][][]int{{{0, 2, 3}, {1, 3}}})
 		Expect(httpCalls).To(Equal(1))
 	})
 
@@ -279,22 +279,22 @@
 		conn, err := net.ListenPacket("udp4", "127.0.0.1:0")
 		Expect(err).NotTo(HaveOccurred())
 		DeferCleanup(conn.Close)
-		sealed := seal{key: []byte(key)}
+		auth := authenticator{key: []byte(key)}
 		go func() {
-			buffer := make([]byte, maxSealed)
+			buffer := make([]byte, maxSignedDatagram)
 			n, from, err := conn.ReadFrom(buffer)
-			data, ok := sealed.open(buffer[:n])
+			data, ok := auth.verify(buffer[:n])
 			var call peerrpc.RankCall
 			if err != nil || !ok || proto.Unmarshal(data, &call) != nil {
 				return
 			}
-			answer, _ := proto.Marshal(&peerrpc.RankAnswer{Id: call.GetId(), Command: &peerrpc.CommandReply{BaseUnknown: true}})
-			_, _ = conn.WriteTo(sealed.add(answer), from)
+			response, _ := proto.Marshal(&peerrpc.RankAnswer{Id: call.GetId(), Command: &peerrpc.CommandReply{BaseUnknown: true}})
+			_, _ = conn.WriteTo(auth.sign(response), from)
 		}()
 		c := connect(key)
-		c.directory = place{Endpoints{Server: "s", Agent: conn.LocalAddr().String()}}
-		verdict, err := c.SendCommand(bounded(5*time.Second), 1, experts.Command{Operation: experts.Arm, Version: 4, Pass: 12, Fence: 4}, false)
-		Expect(verdict).To(Equal(experts.NoResponse))
+		c.directory = fixedDirectory{Endpoints{Server: "s", Agent: conn.LocalAddr().String()}}
+		result, err := c.SendCommand(bounded(5*time.Second), 1, experts.Command{Operation: experts.Arm, Version: 4, Pass: 12, Fence: 4}, false)
+		Expect(result).To(Equal(experts.NoResponse))
 		Expect(err).To(MatchError(ContainSubstring("no map")))
 	})
 
@@ -325,7 +325,7 @@
 			Expect(err).NotTo(HaveOccurred())
 			Expect(reply.GetBaseUnknown()).To(BeTrue(), d.String())
 		}
-		Expect(engine.given()).To(BeEmpty())
+		Expect(engine.executed()).To(BeEmpty())
 	})
 
 	It("takes no map of another holder for a base", func() {
@@ -343,7 +343,7 @@
 // FuzzDifference: whatever difference comes, applying it neither panics nor
 // changes the base, and what we write ourselves is read back.
 func FuzzDifference(f *testing.F) {
-	data, err := proto.Marshal(difference(namedMap{lists: defaultMap(2, 3, 6)}, [][][]int{{{1, 0}, {2}, {3, 4, 5}}, {{0}, {1, 4}, {2, 3, 5}}}))
+	data, err := proto.Marshal(encodeDifference(versionedMap{lists: defaultMap(2, 3, 6)}, [][][]int{{{1, 0}, {2}, {3, 4, 5}}, {{0}, {1, 4}, {2, 3, 5}}}))
 	if err != nil {
 		f.Fatal(err)
 	}
@@ -355,11 +355,11 @@
 			return // not a message
 		}
 		base := defaultMap(2, 3, 6)
-		lists, ok := apply(base, &d)
+		lists, ok := applyDifference(base, &d)
 		if !ok {
 			return
 		}
-		again, ok := apply(base, difference(namedMap{lists: base}, lists))
+		again, ok := applyDifference(base, encodeDifference(versionedMap{lists: base}, lists))
 		if !ok || !equalMaps(again, lists) || !equalMaps(base, defaultMap(2, 3, 6)) {
 			t.Fatalf("%v became %v", lists, again)
 		}
--- a/internal/ranks/seal.go
+++ b/internal/ranks/seal.go
@@ -6,37 +6,37 @@
 )
 
 // sealBytes is the part of the HMAC-SHA256 that goes with a datagram.
-const sealBytes = 16
+const macBytes = 16
 
 // maxSealed is the size of the largest datagram with its seal.
-const maxSealed = maxDatagram + sealBytes
+const maxSignedDatagram = maxDatagram + macBytes
 
 // seal authenticates datagrams between daemons that share a key. Without a key
 // it does nothing: the users' platform gives its processes none.
-type seal struct{ key []byte }
+type authenticator struct{ key []byte }
 
 // add returns the data with its seal.
-func (s seal) add(data []byte) []byte {
+func (s authenticator) sign(data []byte) []byte {
 	if len(s.key) == 0 {
 		return data
 	}
-	return append(data, s.sum(data)...)
+	return append(data, s.mac(data)...)
 }
 
 // open returns the data without its seal, or false when that is wrong.
-func (s seal) open(sealed []byte) ([]byte, bool) {
+func (s authenticator) verify(signed []byte) ([]byte, bool) {
 	if len(s.key) == 0 {
-		return sealed, true
+		return signed, true
 	}
-	end := len(sealed) - sealBytes
-	if end < 0 || !hmac.Equal(sealed[end:], s.sum(sealed[:end])) {
+	end := len(signed) - macBytes
+	if end < 0 || !hmac.Equal(signed[end:], s.mac(signed[:end])) {
 		return nil, false
 	}
-	return sealed[:end], true
+	return signed[:end], true
 }
 
-func (s seal) sum(data []byte) []byte {
+func (s authenticator) mac(data []byte) []byte {
 	mac := hmac.New(sha256.New, s.key)
 	_, _ = mac.Write(data) // a hash can't fail
-	return mac.Sum(nil)[:sealBytes]
+	return mac.Sum(nil)[:macBytes]
 }
--- a/internal/ranks/service.go
+++ b/internal/ranks/service.go
@@ -15,7 +15,7 @@
 
 	mu sync.Mutex // a leaf
 	// known is the newest map that a holder has told, the base of the next difference.
-	known namedMap
+	baseMap versionedMap
 }
 
 // NewService returns the service of an agent.
@@ -23,18 +23,18 @@
 
 // Observe implements peerrpc.Ranks.
 func (s *Service) Observe(ctx context.Context, r *peerrpc.ObserveRequest) (*peerrpc.ObserveReply, error) {
-	seen, err := s.agent.Observe(ctx, r.GetFence(), experts.Query{
+	observation, err := s.agent.Observe(ctx, r.GetFence(), experts.Query{
 		From: int(r.GetCountsFrom()), To: int(r.GetCountsTo()), Experts: r.GetLists(),
 	})
-	reply := &peerrpc.ObserveReply{Fence: seen.Fence, State: encodeState(seen.Report)}
+	reply := &peerrpc.ObserveReply{Fence: observation.Fence, State: encodeState(observation.Report)}
 	if err != nil {
 		reply.Failure = err.Error()
 		return reply, nil
 	}
-	for _, n := range seen.Counts.Chosen {
+	for _, n := range observation.Counts.Chosen {
 		reply.Chosen = append(reply.Chosen, uint32(n))
 	}
-	for _, set := range seen.Experts {
+	for _, set := range observation.Experts {
 		reply.Experts = append(reply.Experts, encodeExperts(set))
 	}
 	return reply, nil
@@ -48,12 +48,12 @@
 			Detail:  fmt.Sprintf("meant for rank %d of group %q; this is rank %d of %q", r.GetRank(), r.GetGroup(), own.Rank, own.Group),
 		}, nil
 	}
-	order, known := s.decodeOrder(r)
+	command, known := s.decodeCommand(r)
 	if !known {
 		return &peerrpc.CommandReply{BaseUnknown: true}, nil
 	}
-	verdict, err := s.agent.Execute(ctx, order)
-	reply := &peerrpc.CommandReply{Verdict: int32(verdict)}
+	result, err := s.agent.Execute(ctx, command)
+	reply := &peerrpc.CommandReply{Verdict: int32(result)}
 	if err != nil {
 		reply.Detail = err.Error()
 	}
@@ -62,40 +62,40 @@
 
 // decodeOrder reads an order. It returns false when its map is the difference to
 // one that isn't known here.
-func (s *Service) decodeOrder(r *peerrpc.CommandRequest) (experts.Command, bool) {
-	order := experts.Command{
+func (s *Service) decodeCommand(r *peerrpc.CommandRequest) (experts.Command, bool) {
+	command := experts.Command{
 		Operation: experts.Operation(r.GetOperation()), Epoch: r.GetEpoch(), Version: r.GetVersion(),
 		Pass: r.GetPass(), Fence: r.GetFence(),
 	}
 	if r.GetMap() == nil && r.GetDifference() == nil {
-		return order, true
+		return command, true
 	}
-	told := namedMap{epoch: order.Epoch, fence: order.Fence, version: order.Version}
+	target := versionedMap{epoch: command.Epoch, fence: command.Fence, version: command.Version}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	lists, known := s.mapOf(told, r)
+	lists, known := s.resolveMap(target, r)
 	if !known {
 		return experts.Command{}, false
 	}
-	order.Map, told.lists = lists, lists
-	s.known = told
-	return order, true
+	command.Map, target.lists = lists, lists
+	s.baseMap = target
+	return command, true
 }
 
 // mapOf returns the map that an order tells under a name. The caller holds mu.
-func (s *Service) mapOf(told namedMap, r *peerrpc.CommandRequest) ([][][]int, bool) {
+func (s *Service) resolveMap(target versionedMap, r *peerrpc.CommandRequest) ([][][]int, bool) {
 	d := r.GetDifference()
 	switch {
 	case r.GetMap() != nil:
 		return decodeMap(r.GetMap()), true
-	case s.known.sameHolder(told) && s.known.version == told.version:
-		return s.known.lists, true // the same order again
-	case !plausible(d):
+	case s.baseMap.sameHolder(target) && s.baseMap.version == target.version:
+		return s.baseMap.lists, true // the same order again
+	case !validDifference(d):
 		return nil, false
 	case d.GetBase() == 0:
-		return apply(defaultMap(int(d.GetSets()), int(d.GetRanks()), int(d.GetExperts())), d)
-	case s.known.sameHolder(told) && s.known.version == d.GetBase():
-		return apply(s.known.lists, d)
+		return applyDifference(defaultMap(int(d.GetSets()), int(d.GetRanks()), int(d.GetExperts())), d)
+	case s.baseMap.sameHolder(target) && s.baseMap.version == d.GetBase():
+		return applyDifference(s.baseMap.lists, d)
 	default:
 		return nil, false
 	}
--- a/internal/ranks/udpclient.go
+++ b/internal/ranks/udpclient.go
@@ -23,67 +23,67 @@
 
 // link carries a holder's calls as datagrams. A lost one is sent again; agents
 // may get a call twice, which changes nothing. Safe for concurrent use.
-type link struct {
+type udpClient struct {
 	conn net.PacketConn
-	seal seal
+	auth authenticator
 
 	mu      sync.Mutex // a leaf
 	next    uint64
-	waiting map[uint64]chan *peerrpc.RankAnswer
+	pending map[uint64]chan *peerrpc.RankAnswer
 }
 
 // newLink opens a socket at an IP address. first begins the numbers of calls:
 // late answers to an earlier link must not match.
-func newLink(ip string, s seal, first uint64) (*link, error) {
+func newUDPClient(ip string, auth authenticator, first uint64) (*udpClient, error) {
 	conn, err := net.ListenPacket("udp4", net.JoinHostPort(ip, "0"))
 	if err != nil {
 		return nil, errors.Wrap(err, "rank calls")
 	}
-	l := &link{conn: conn, seal: s, next: first, waiting: map[uint64]chan *peerrpc.RankAnswer{}}
+	l := &udpClient{conn: conn, auth: auth, next: first, pending: map[uint64]chan *peerrpc.RankAnswer{}}
 	go l.receive()
 	return l, nil
 }
 
 // close ends the link. Calls under way end with their contexts.
-func (l *link) close() { _ = l.conn.Close() }
+func (l *udpClient) close() { _ = l.conn.Close() }
 
 // receive hands answers to the calls that wait for them, until close.
-func (l *link) receive() {
-	buffer := make([]byte, maxSealed)
+func (l *udpClient) receive() {
+	buffer := make([]byte, maxSignedDatagram)
 	for {
 		n, _, err := l.conn.ReadFrom(buffer)
 		if err != nil {
 			return
 		}
-		var answer peerrpc.RankAnswer
-		data, ok := l.seal.open(buffer[:n])
-		if !ok || proto.Unmarshal(data, &answer) != nil {
+		var response peerrpc.RankAnswer
+		data, ok := l.auth.verify(buffer[:n])
+		if !ok || proto.Unmarshal(data, &response) != nil {
 			continue // not from an agent of this deployment
 		}
 		l.mu.Lock()
-		waiting := l.waiting[answer.GetId()]
-		delete(l.waiting, answer.GetId())
+		pending := l.pending[response.GetId()]
+		delete(l.pending, response.GetId())
 		l.mu.Unlock()
-		if waiting != nil {
-			waiting <- &answer
+		if pending != nil {
+			pending <- &response
 		}
 	}
 }
 
 // call sends a call until it's answered or the context ends. It sets the call's ID.
-func (l *link) call(ctx context.Context, address string, call *peerrpc.RankCall) (*peerrpc.RankAnswer, error) {
+func (l *udpClient) call(ctx context.Context, address string, call *peerrpc.RankCall) (*peerrpc.RankAnswer, error) {
 	to, err := netip.ParseAddrPort(address)
 	if err != nil {
 		return nil, errors.Wrap(err, "rank calls")
 	}
-	answered := make(chan *peerrpc.RankAnswer, 1)
-	call.Id = l.register(answered)
-	defer l.forget(call.Id)
+	responded := make(chan *peerrpc.RankAnswer, 1)
+	call.Id = l.register(responded)
+	defer l.unregister(call.Id)
 	data, err := proto.Marshal(call)
 	if err != nil {
 		return nil, errors.Wrap(err, "rank calls")
 	}
-	data = l.seal.add(data)
+	data = l.auth.sign(data)
 	resend := time.NewTicker(resendAfter)
 	defer resend.Stop()
 	for {
@@ -91,8 +91,8 @@
 			return nil, errors.Wrapf(err, "rank calls to %s", address)
 		}
 		select {
-		case answer := <-answered:
-			return answer, nil
+		case response := <-responded:
+			return response, nil
 		case <-resend.C:
 		case <-ctx.Done():
 			return nil, errors.Wrapf(ctx.Err(), "rank calls to %s", address)
@@ -100,16 +100,16 @@
 	}
 }
 
-func (l *link) register(answered chan *peerrpc.RankAnswer) uint64 {
+func (l *udpClient) register(responded chan *peerrpc.RankAnswer) uint64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.next++
-	l.waiting[l.next] = answered
+	l.pending[l.next] = responded
 	return l.next
 }
 
-func (l *link) forget(id uint64) {
+func (l *udpClient) unregister(id uint64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	delete(l.waiting, id)
+	delete(l.pending, id)
 }
--- a/internal/ranks/udpserver.go
+++ b/internal/ranks/udpserver.go
@@ -15,42 +15,42 @@
 
 const (
 	// callsAtOnce bounds the calls that an agent works on.
-	callsAtOnce = 16
+	maxConcurrentCalls = 16
 	// orderTimeout bounds the work on one call: an engine that doesn't answer an
 	// order may carry it out later, and the holder asks again.
-	orderTimeout = 200 * time.Millisecond
+	callTimeout = 200 * time.Millisecond
 )
 
 // listener answers calls that come as datagrams.
-type listener struct {
+type udpServer struct {
 	conn    net.PacketConn
 	service *Service
-	seal    seal
+	auth    authenticator
 	log     *logrus.Entry
-	room    *semaphore.Weighted
+	slots   *semaphore.Weighted
 
 	mu sync.Mutex // a leaf
 	// busy are the calls under way: the same call again needs no second answer.
-	busy map[callName]bool
+	inProgress map[callKey]bool
 }
 
 // callName names a call: IDs are the caller's own.
-type callName struct {
-	from string
-	id   uint64
+type callKey struct {
+	sender string
+	id     uint64
 }
 
 // Listen answers holders' datagrams until the context ends. Both sides need the
 // same key; an empty one leaves datagrams unsealed.
-func Listen(ctx context.Context, conn net.PacketConn, service *Service, key string, log *logrus.Entry) error {
-	l := &listener{
-		conn: conn, service: service, seal: seal{key: []byte(key)}, log: log,
-		room: semaphore.NewWeighted(callsAtOnce), busy: map[callName]bool{},
+func Serve(ctx context.Context, conn net.PacketConn, service *Service, key string, log *logrus.Entry) error {
+	l := &udpServer{
+		conn: conn, service: service, auth: authenticator{key: []byte(key)}, log: log,
+		slots: semaphore.NewWeighted(maxConcurrentCalls), inProgress: map[callKey]bool{},
 	}
 	stop := context.AfterFunc(ctx, func() { _ = conn.Close() }) // ends the read
 	defer stop()
 	defer func() { _ = conn.Close() }() // a read that brought something as the context ended stops the other
-	buffer := make([]byte, maxSealed)
+	buffer := make([]byte, maxSignedDatagram)
 	for {
 		n, from, err := conn.ReadFrom(buffer)
 		if ctx.Err() != nil {
@@ -60,66 +60,66 @@
 			return errors.Wrap(err, "rank calls")
 		}
 		var call peerrpc.RankCall
-		data, ok := l.seal.open(buffer[:n])
+		data, ok := l.auth.verify(buffer[:n])
 		if !ok || proto.Unmarshal(data, &call) != nil {
 			log.WithField("from", from.String()).Debug("rank call not understood")
 			continue
 		}
-		l.take(ctx, &call, from)
+		l.dispatch(ctx, &call, from)
 	}
 }
 
 // take works on a call in the background, unless it's under way or too many are:
 // its caller sends it again.
-func (l *listener) take(ctx context.Context, call *peerrpc.RankCall, from net.Addr) {
-	name := callName{from: from.String(), id: call.GetId()}
-	if !l.begin(name) {
+func (l *udpServer) dispatch(ctx context.Context, call *peerrpc.RankCall, from net.Addr) {
+	key := callKey{sender: from.String(), id: call.GetId()}
+	if !l.tryBegin(key) {
 		return
 	}
 	go func() {
-		defer l.end(name)
-		ctx, cancel := context.WithTimeout(ctx, orderTimeout)
+		defer l.end(key)
+		ctx, cancel := context.WithTimeout(ctx, callTimeout)
 		defer cancel()
-		l.answer(ctx, call, from)
+		l.respond(ctx, call, from)
 	}()
 }
 
-func (l *listener) begin(name callName) bool {
+func (l *udpServer) tryBegin(key callKey) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.busy[name] || !l.room.TryAcquire(1) {
+	if l.inProgress[key] || !l.slots.TryAcquire(1) {
 		return false
 	}
-	l.busy[name] = true
+	l.inProgress[key] = true
 	return true
 }
 
-func (l *listener) end(name callName) {
+func (l *udpServer) end(key callKey) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	delete(l.busy, name)
-	l.room.Release(1)
+	delete(l.inProgress, key)
+	l.slots.Release(1)
 }
 
-func (l *listener) answer(ctx context.Context, call *peerrpc.RankCall, from net.Addr) {
-	answer := &peerrpc.RankAnswer{Id: call.GetId()}
+func (l *udpServer) respond(ctx context.Context, call *peerrpc.RankCall, from net.Addr) {
+	response := &peerrpc.RankAnswer{Id: call.GetId()}
 	var err error
 	switch {
 	case call.GetObserve() != nil:
-		answer.Observe, err = l.service.Observe(ctx, call.GetObserve())
+		response.Observe, err = l.service.Observe(ctx, call.GetObserve())
 	case call.GetCommand() != nil:
-		answer.Command, err = l.service.Command(ctx, call.GetCommand())
+		response.Command, err = l.service.Command(ctx, call.GetCommand())
 	}
 	if err != nil {
 		l.log.WithError(err).Warn("rank call failed")
 		return
 	}
-	if proto.Size(answer) > maxDatagram && answer.GetObserve() != nil {
-		answer.Observe.Chosen = nil // the state matters more, and the next counts come soon
+	if proto.Size(response) > maxDatagram && response.GetObserve() != nil {
+		response.Observe.Chosen = nil // the state matters more, and the next counts come soon
 	}
-	data, err := proto.Marshal(answer)
+	data, err := proto.Marshal(response)
 	if err == nil {
-		_, err = l.conn.WriteTo(l.seal.add(data), from)
+		_, err = l.conn.WriteTo(l.auth.sign(data), from)
 	}
 	if err != nil {
 		l.log.WithError(err).Debug("rank call not answered")
--- a/internal/rebalance/layer.go
+++ b/internal/rebalance/layer.go
@@ -14,57 +14,57 @@
 	// kept is what the slots hold by the moves that are settled, start what they held
 	// at first, added how many experts each rank has that it didn't have then, and
 	// maxAdded the bound on that, or 0. loads is shared by all layers.
-	kept, start []int32
-	added       []int
-	maxAdded    int
-	loads       *rankLoads
+	committed, initial []int32
+	added              []int
+	maxAdded           int
+	loads              *rankLoads
 }
 
 // rankLoads counts the experts that each rank has to load, over all layers.
 type rankLoads struct {
 	byRank []int
 	// allowed bounds them; refused is set when the bound has stood in a step's way.
-	allowed int
-	refused bool
+	limit   int
+	limited bool
 }
 
 func (r *rankLoads) reset() { clear(r.byRank) }
 
 // allow sets the bound.
-func (r *rankLoads) allow(most int) { r.allowed, r.refused = most, false }
+func (r *rankLoads) setLimit(limit int) { r.limit, r.limited = limit, false }
 
 // most is the number of the rank that has to load most.
-func (r *rankLoads) most() int { return slices.Max(r.byRank) }
+func (r *rankLoads) highest() int { return slices.Max(r.byRank) }
 
 // mayAdd tells whether a rank may load one more.
-func (r *rankLoads) mayAdd(rank int) bool {
-	if r.byRank[rank] < r.allowed {
+func (r *rankLoads) canLoad(rank int) bool {
+	if r.byRank[rank] < r.limit {
 		return true
 	}
-	r.refused = true
+	r.limited = true
 	return false
 }
 
 func newLayer(shape Shape) *layer {
 	return &layer{
-		shape: shape,
-		slots: make([]int32, shape.Ranks*shape.Slots),
-		hosts: make([][]int32, shape.Experts),
-		times: make([]float64, shape.Ranks),
-		kept:  make([]int32, shape.Ranks*shape.Slots),
-		start: make([]int32, shape.Ranks*shape.Slots),
-		added: make([]int, shape.Ranks),
+		shape:     shape,
+		slots:     make([]int32, shape.Ranks*shape.Slots),
+		hosts:     make([][]int32, shape.Experts),
+		times:     make([]float64, shape.Ranks),
+		committed: make([]int32, shape.Ranks*shape.Slots),
+		initial:   make([]int32, shape.Ranks*shape.Slots),
+		added:     make([]int, shape.Ranks),
 	}
 }
 
 func (l *layer) load(p *Placement, n int, popularity, speeds []float64) {
 	copy(l.slots, p.slots[n])
 	l.popularity, l.speeds = popularity, speeds
-	l.count()
+	l.recount()
 }
 
 // count works out who holds what, and each rank's time.
-func (l *layer) count() {
+func (l *layer) recount() {
 	for expert := range l.hosts {
 		l.hosts[expert] = l.hosts[expert][:0]
 	}
@@ -79,31 +79,31 @@
 			continue
 		}
 		rank := i / l.shape.Slots
-		l.times[rank] += l.share(int(expert), 0) / l.speeds[rank]
+		l.times[rank] += l.workPerReplica(int(expert), 0) / l.speeds[rank]
 	}
 }
 
 // bound limits how many experts may be loaded at each rank from now on: in this
 // layer, and in all that share the loads.
-func (l *layer) bound(limit int, loads *rankLoads) {
-	copy(l.start, l.slots)
-	copy(l.kept, l.slots)
+func (l *layer) limitLoads(limit int, loads *rankLoads) {
+	copy(l.initial, l.slots)
+	copy(l.committed, l.slots)
 	clear(l.added)
 	l.maxAdded, l.loads = limit, loads
 }
 
 // keep settles the steps that were taken.
-func (l *layer) keep() { copy(l.kept, l.slots) }
+func (l *layer) commit() { copy(l.committed, l.slots) }
 
 // undo takes back the steps since the last that were settled.
-func (l *layer) undo() {
-	copy(l.slots, l.kept)
-	l.count()
+func (l *layer) rollback() {
+	copy(l.slots, l.committed)
+	l.recount()
 	for rank := range l.added {
 		l.loads.byRank[rank] -= l.added[rank]
 		l.added[rank] = 0
 		for _, expert := range l.held(rank) {
-			if expert != Empty && !l.hadAtStart(rank, expert) {
+			if expert != Empty && !l.hadInitially(rank, expert) {
 				l.added[rank]++
 			}
 		}
@@ -111,43 +111,43 @@
 	}
 }
 
-func (l *layer) hadAtStart(rank int, expert int32) bool {
-	return contains(l.start[rank*l.shape.Slots:(rank+1)*l.shape.Slots], expert)
+func (l *layer) hadInitially(rank int, expert int32) bool {
+	return contains(l.initial[rank*l.shape.Slots:(rank+1)*l.shape.Slots], expert)
 }
 
 // mayAdd tells whether a rank may load an expert in the place of another.
-func (l *layer) mayAdd(rank int, expert, victim int32) bool {
-	if l.loads == nil || l.hadAtStart(rank, expert) {
+func (l *layer) canLoad(rank int, expert, victim int32) bool {
+	if l.loads == nil || l.hadInitially(rank, expert) {
 		return true
 	}
-	if victim != Empty && !l.hadAtStart(rank, victim) {
+	if victim != Empty && !l.hadInitially(rank, victim) {
 		return true
 	}
-	return (l.maxAdded == 0 || l.added[rank] < l.maxAdded) && l.loads.mayAdd(rank)
+	return (l.maxAdded == 0 || l.added[rank] < l.maxAdded) && l.loads.canLoad(rank)
 }
 
 // countAdded keeps the number of experts that a rank has to load.
-func (l *layer) countAdded(rank int, expert, victim int32) {
-	more := 0
-	if expert != Empty && !l.hadAtStart(rank, expert) {
-		more++
+func (l *layer) trackAdded(rank int, expert, victim int32) {
+	delta := 0
+	if expert != Empty && !l.hadInitially(rank, expert) {
+		delta++
 	}
-	if victim != Empty && !l.hadAtStart(rank, victim) {
-		more--
+	if victim != Empty && !l.hadInitially(rank, victim) {
+		delta--
 	}
-	l.added[rank] += more
+	l.added[rank] += delta
 	if l.loads != nil {
-		l.loads.byRank[rank] += more
+		l.loads.byRank[rank] += delta
 	}
 }
 
 // share is the work that each replica of an expert gets when it has more (or
 // fewer) replicas than now.
-func (l *layer) share(expert, more int) float64 {
+func (l *layer) workPerReplica(expert, delta int) float64 {
 	if expert == Empty {
 		return 0
 	}
-	return l.popularity[expert] / float64(len(l.hosts[expert])+more)
+	return l.popularity[expert] / float64(len(l.hosts[expert])+delta)
 }
 
 // hostsOf returns the ranks that hold an expert; an empty slot is held by none.
@@ -175,20 +175,20 @@
 }
 
 // coldest is how many of the least busy ranks are tried as a move's target.
-const coldest = 6
+const maxTargets = 6
 
 // coldestRanks returns the least busy ranks, coldest first.
-func (l *layer) coldestRanks(into *[coldest]int) []int {
+func (l *layer) leastLoadedRanks(into *[maxTargets]int) []int {
 	n := 0
 	for rank, time := range l.times {
 		at := n
 		for at > 0 && l.times[into[at-1]] > time {
 			at--
 		}
-		if at >= coldest {
+		if at >= maxTargets {
 			continue
 		}
-		n = min(n+1, coldest)
+		n = min(n+1, maxTargets)
 		copy(into[at+1:n], into[at:n-1])
 		into[at] = rank
 	}
@@ -212,15 +212,15 @@
 	hot := l.slowestRank()
 	best, peak := step{}, l.times[hot]
 	l.tryDrops(n, hot, &best, &peak)
-	var buffer [coldest]int
-	cold := l.coldestRanks(&buffer)
-	for _, target := range cold {
+	var buffer [maxTargets]int
+	targets := l.leastLoadedRanks(&buffer)
+	for _, target := range targets {
 		l.tryReplicas(n, hot, target, &best, &peak)
 	}
 	if best.length > 0 {
 		return best, true
 	}
-	for _, target := range cold {
+	for _, target := range targets {
 		l.tryExchanges(n, hot, target, &best, &peak)
 	}
 	return best, best.length > 0
@@ -242,8 +242,8 @@
 }
 
 func (l *layer) peakAfterDrop(hot, expert int) float64 {
-	peak := l.times[hot] - l.share(expert, 0)/l.speeds[hot]
-	more := l.share(expert, -1) - l.share(expert, 0)
+	peak := l.times[hot] - l.workPerReplica(expert, 0)/l.speeds[hot]
+	more := l.workPerReplica(expert, -1) - l.workPerReplica(expert, 0)
 	for _, rank := range l.hosts[expert] {
 		if int(rank) != hot {
 			peak = max(peak, l.times[rank]+more/l.speeds[rank])
@@ -262,7 +262,7 @@
 			continue
 		}
 		for slot, victim := range l.held(target) {
-			if (victim != Empty && len(l.hosts[victim]) < 2) || !l.mayAdd(target, expert, victim) {
+			if (victim != Empty && len(l.hosts[victim]) < 2) || !l.canLoad(target, expert, victim) {
 				continue
 			}
 			if peak := l.peakAfter(hot, target, int(expert), int(victim)); peak < *bestPeak {
@@ -285,7 +285,7 @@
 		}
 		for slot, victim := range l.held(target) {
 			if victim == Empty || contains(l.held(hot), victim) ||
-				!l.mayAdd(target, expert, victim) || !l.mayAdd(hot, victim, expert) {
+				!l.canLoad(target, expert, victim) || !l.canLoad(hot, victim, expert) {
 				continue
 			}
 			if peak := l.peakAfterExchange(hot, target, int(expert), int(victim)); peak < *bestPeak {
@@ -299,33 +299,33 @@
 }
 
 func (l *layer) peakAfterExchange(hot, target, expert, victim int) float64 {
-	difference := l.share(expert, 0) - l.share(victim, 0)
+	difference := l.workPerReplica(expert, 0) - l.workPerReplica(victim, 0)
 	return max(l.times[hot]-difference/l.speeds[hot], l.times[target]+difference/l.speeds[target])
 }
 
 // take carries out a step.
-func (l *layer) take(s step) {
+func (l *layer) applyStep(s step) {
 	if s.length == 1 {
 		l.apply(s.moves[0])
 		return
 	}
 	into, back := s.moves[0], s.moves[1]
-	difference := l.share(into.Expert, 0) - l.share(back.Expert, 0)
+	difference := l.workPerReplica(into.Expert, 0) - l.workPerReplica(back.Expert, 0)
 	l.times[back.Rank] -= difference / l.speeds[back.Rank]
 	l.times[into.Rank] += difference / l.speeds[into.Rank]
 	l.hosts[into.Expert] = append(remove(l.hosts[into.Expert], int32(back.Rank)), int32(into.Rank))
 	l.hosts[back.Expert] = append(remove(l.hosts[back.Expert], int32(into.Rank)), int32(back.Rank))
-	l.countAdded(into.Rank, int32(into.Expert), int32(back.Expert))
-	l.countAdded(back.Rank, int32(back.Expert), int32(into.Expert))
+	l.trackAdded(into.Rank, int32(into.Expert), int32(back.Expert))
+	l.trackAdded(back.Rank, int32(back.Expert), int32(into.Expert))
 	l.held(into.Rank)[into.Slot] = int32(into.Expert)
 	l.held(back.Rank)[back.Slot] = int32(back.Expert)
 }
 
 // peakAfter is the time of the slowest rank that a move touches.
 func (l *layer) peakAfter(hot, target, expert, victim int) float64 {
-	less := l.share(expert, 0) - l.share(expert, 1)
-	more := l.share(victim, -1) - l.share(victim, 0)
-	peak := l.times[target] + (l.share(expert, 1)-l.share(victim, 0))/l.speeds[target]
+	less := l.workPerReplica(expert, 0) - l.workPerReplica(expert, 1)
+	more := l.workPerReplica(victim, -1) - l.workPerReplica(victim, 0)
+	peak := l.times[target] + (l.workPerReplica(expert, 1)-l.workPerReplica(victim, 0))/l.speeds[target]
 	for _, rank := range l.hostsOf(victim) {
 		if int(rank) == target {
 			continue
@@ -348,22 +348,22 @@
 	victim := int(l.held(m.Rank)[m.Slot])
 	l.held(m.Rank)[m.Slot] = int32(m.Expert)
 	if victim != Empty {
-		l.shift(victim, m.Rank, -1)
+		l.changeHost(victim, m.Rank, -1)
 	}
 	if m.Expert != Empty {
-		l.shift(m.Expert, m.Rank, 1)
+		l.changeHost(m.Expert, m.Rank, 1)
 	}
-	l.countAdded(m.Rank, int32(m.Expert), int32(victim))
+	l.trackAdded(m.Rank, int32(m.Expert), int32(victim))
 }
 
 // shift adds a rank to an expert's hosts, or takes it away, and spreads the expert's
 // work anew.
-func (l *layer) shift(expert, rank, more int) {
-	before, after := l.share(expert, 0), l.share(expert, more)
+func (l *layer) changeHost(expert, rank, delta int) {
+	before, after := l.workPerReplica(expert, 0), l.workPerReplica(expert, delta)
 	for _, host := range l.hosts[expert] {
 		l.times[host] += (after - before) / l.speeds[host]
 	}
-	if more > 0 {
+	if delta > 0 {
 		l.times[rank] += after / l.speeds[rank]
 		l.hosts[expert] = append(l.hosts[expert], int32(rank))
 		return
--- a/internal/rebalance/plan.go
+++ b/internal/rebalance/plan.go
@@ -37,12 +37,12 @@
 //
 // Plans follow each other, so that which gains most a second goes first: that order
 // leaves the least skew over time. A long plan makes everybody wait for its last copy.
-func (t Timing) rate(before, after float64, loads int) float64 {
-	took := t.Switch + time.Duration(loads)*t.Copy
-	if took <= 0 {
+func (t Timing) gainRate(before, after float64, loads int) float64 {
+	duration := t.Switch + time.Duration(loads)*t.Copy
+	if duration <= 0 {
 		return before - after
 	}
-	return (before - after) / took.Seconds()
+	return (before - after) / duration.Seconds()
 }
 
 // Planner turns popularity into moves. It keeps its arrays between plans. Not
@@ -56,7 +56,7 @@
 	// bound on loads.
 	ideal, slowest []float64
 	stuck          []bool
-	price          float64
+	loadCost       float64
 	// moves are those of the plan so far; pending those of a step that has not paid yet.
 	moves, pending []Move
 	// pendingLoads is how many of the pending moves load an expert.
@@ -83,17 +83,17 @@
 // stage, the layer with the slowest rank is lightened first, step by step; a step
 // that costs more than it gains isn't made, which is the hysteresis against noise.
 func (p *Planner) Plan(current *Placement, popularity Popularity, speeds []float64, options Options) []Move {
-	p.start(current, popularity, speeds, options)
+	p.reset(current, popularity, speeds, options)
 	before := p.skew()
 	bestRate, bestLength, worse := 0.0, 0, 0
-	for most := p.firstBound(options); worse < worseStages; most = nextBound(most) {
-		p.loads.allow(most)
-		p.lighten(options)
+	for limit := p.initialLoadLimit(options); worse < maxWorseStages; limit = nextLoadLimit(limit) {
+		p.loads.setLimit(limit)
+		p.reduceSkew(options)
 		worse++
-		if rate := options.Timing.rate(before, p.skew(), p.loads.most()); rate > bestRate {
+		if rate := options.Timing.gainRate(before, p.skew(), p.loads.highest()); rate > bestRate {
 			bestRate, bestLength, worse = rate, len(p.moves), 0
 		}
-		if !p.loads.refused || len(p.moves) >= options.MaxMoves {
+		if !p.loads.limited || len(p.moves) >= options.MaxMoves {
 			break
 		}
 	}
@@ -102,11 +102,11 @@
 
 // worseStages is how many stages in a row may gain less a second before the search
 // ends: each further load at a rank gains less than the one before, as a rule.
-const worseStages = 3
+const maxWorseStages = 3
 
 // firstBound is the bound on a rank's loads to begin with: none when copies take no
 // time.
-func (p *Planner) firstBound(options Options) int {
+func (p *Planner) initialLoadLimit(options Options) int {
 	if options.Timing.Copy <= 0 {
 		return p.shape.Layers * p.shape.Slots
 	}
@@ -115,26 +115,26 @@
 
 // fineBounds is up to which bound the stages differ by one load; further ones differ
 // by a quarter, so that groups of many layers are planned in some twenty stages.
-const fineBounds = 8
+const fineLoadLimit = 8
 
-func nextBound(most int) int {
-	if most < fineBounds {
-		return most + 1
+func nextLoadLimit(limit int) int {
+	if limit < fineLoadLimit {
+		return limit + 1
 	}
-	return most + most/4
+	return limit + limit/4
 }
 
 // start takes in the present state.
-func (p *Planner) start(current *Placement, popularity Popularity, speeds []float64, options Options) {
-	p.price = 0
+func (p *Planner) reset(current *Placement, popularity Popularity, speeds []float64, options Options) {
+	p.loadCost = 0
 	if options.SkewWeight > 0 {
-		p.price = options.CostWeight / options.SkewWeight
+		p.loadCost = options.CostWeight / options.SkewWeight
 	}
 	p.moves = nil // the last plan's may still be in use
 	p.loads.reset()
 	for n, l := range p.layers {
 		l.load(current, n, popularity[n], speeds)
-		l.bound(options.MaxNewPerRank, p.loads)
+		l.limitLoads(options.MaxNewPerRank, p.loads)
 		p.ideal[n], p.slowest[n] = sum(popularity[n])/sum(speeds), l.slowestTime()
 	}
 }
@@ -153,7 +153,7 @@
 }
 
 // lighten makes all steps that pay within the bound on loads.
-func (p *Planner) lighten(options Options) {
+func (p *Planner) reduceSkew(options Options) {
 	for n := range p.stuck {
 		p.stuck[n] = false
 	}
@@ -162,7 +162,7 @@
 		if worst < 0 {
 			return
 		}
-		p.stuck[worst] = !p.improve(worst, options)
+		p.stuck[worst] = !p.improveLayer(worst, options)
 	}
 }
 
@@ -184,36 +184,36 @@
 // patience is how many moves in a row may bring no net gain before the search in a
 // layer ends: several ranks may have to be lightened before the slowest one's time
 // falls.
-const patience = 24
+const maxPendingMoves = 24
 
 // improve makes the fewest steps in a layer that gain more than they cost. It tells
 // whether there are any.
-func (p *Planner) improve(n int, options Options) bool {
+func (p *Planner) improveLayer(n int, options Options) bool {
 	l := p.layers[n]
 	before := l.slowestTime()
 	p.pending, p.pendingLoads = p.pending[:0], 0
-	for len(p.pending) <= patience && l.slowestTime() > p.ideal[n]*options.TargetRatio && p.mayPay(n, before) {
+	for len(p.pending) <= maxPendingMoves && l.slowestTime() > p.ideal[n]*options.TargetRatio && p.canPay(n, before) {
 		best, found := l.bestStep(n)
 		if !found || len(p.moves)+len(p.pending)+best.length > options.MaxMoves {
 			break
 		}
-		l.take(best)
+		l.applyStep(best)
 		p.pending = append(p.pending, best.moves[:best.length]...)
 		p.pendingLoads += best.loads
 		gain := (before - l.slowestTime()) / p.ideal[n] * 100
-		if gain > p.price*float64(p.pendingLoads) {
+		if gain > p.loadCost*float64(p.pendingLoads) {
 			p.moves = append(p.moves, p.pending...)
-			l.keep()
+			l.commit()
 			p.slowest[n] = l.slowestTime()
 			return true
 		}
 	}
-	l.undo()
+	l.rollback()
 	return false
 }
 
 // mayPay tells whether a perfect spread would pay for one more load.
-func (p *Planner) mayPay(n int, before float64) bool {
-	most := (before - p.ideal[n]) / p.ideal[n] * 100
-	return most > p.price*float64(p.pendingLoads+1)
+func (p *Planner) canPay(n int, before float64) bool {
+	maxGain := (before - p.ideal[n]) / p.ideal[n] * 100
+	return maxGain > p.loadCost*float64(p.pendingLoads+1)
 }
--- a/internal/rebalance/rebalance_test.go
+++ b/internal/rebalance/rebalance_test.go
@@ -47,7 +47,7 @@
 
 // TestPlansKeepEveryExpertAndPay: whatever the input, a plan leaves every expert
 // with a replica, no rank with two of one, and never makes the group slower.
-func TestPlansKeepEveryExpertAndPay(t *testing.T) {
+func TestPlansKeepAllExpertsAndNeverAddSkew(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		shape := drawShape(t)
 		p, err := NewPlacement(shape)
@@ -76,7 +76,7 @@
 
 // TestLayerTimesStayExact: the times that the planner updates move by move are
 // those of the placement counted afresh.
-func TestLayerTimesStayExact(t *testing.T) {
+func TestLayerTimesMatchRecount(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		shape := drawShape(t)
 		shape.Layers = 1
@@ -93,7 +93,7 @@
 				break
 			}
 			hot, slowest := l.slowestRank(), l.slowestTime()
-			l.take(best)
+			l.applyStep(best)
 			p.Apply(best.moves[:best.length])
 			fresh := newLayer(shape)
 			fresh.load(p, 0, popularity[0], speeds)
@@ -111,7 +111,7 @@
 	})
 }
 
-func TestRepackIsValid(t *testing.T) {
+func TestRepackPlacesNoExpertTwiceOnARank(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		shape := drawShape(t)
 		p := Repack(shape, drawPopularity(t, shape), drawSpeeds(t, shape.Ranks))
@@ -126,7 +126,7 @@
 	})
 }
 
-func TestCostStopsMoves(t *testing.T) {
+func TestMoveCostSuppressesMoves(t *testing.T) {
 	shape := Shape{Ranks: 4, Experts: 8, Layers: 1, Slots: 4}
 	p, err := NewPlacement(shape)
 	if err != nil {
@@ -139,9 +139,9 @@
 	speeds := []float64{1, 1, 1, 1}
 	planner := NewPlanner(shape)
 	cheap := planner.Plan(p, popularity, speeds, Options{SkewWeight: 1, CostWeight: 0.01, MaxMoves: 100})
-	dear := planner.Plan(p, popularity, speeds, Options{SkewWeight: 1, CostWeight: 1000, MaxMoves: 100})
-	if len(cheap) == 0 || len(dear) != 0 {
-		t.Fatalf("cheap %d moves, dear %d", len(cheap), len(dear))
+	expensive := planner.Plan(p, popularity, speeds, Options{SkewWeight: 1, CostWeight: 1000, MaxMoves: 100})
+	if len(cheap) == 0 || len(expensive) != 0 {
+		t.Fatalf("cheap %d moves, dear %d", len(cheap), len(expensive))
 	}
 	p.Apply(cheap)
 	if again := planner.Plan(p, popularity, speeds, Options{SkewWeight: 1, CostWeight: 0.01, MaxMoves: 100}); len(again) != 0 {
@@ -154,7 +154,7 @@
 
 // TestPlansKeepTheBoundOnNewExperts: a plan loads no more experts of a layer at
 // a rank than the engine takes in one order, also into empty slots.
-func TestPlansKeepTheBoundOnNewExperts(t *testing.T) {
+func TestPlansRespectMaxNewPerRank(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		shape := Shape{
 			Ranks: rapid.IntRange(2, 8).Draw(t, "ranks"), Experts: rapid.IntRange(4, 24).Draw(t, "experts"), Layers: 2,
@@ -204,7 +204,7 @@
 
 // TestLargeLayersGoInParts: a layer whose plan is over the bound by itself is
 // planned in part, so that a large group gets on at all.
-func TestLargeLayersGoInParts(t *testing.T) {
+func TestLargeLayersArePlannedInParts(t *testing.T) {
 	shape := Shape{Ranks: 8, Experts: 32, Layers: 2, Slots: 6}
 	p, err := NewPlacement(shape)
 	if err != nil {
@@ -236,7 +236,7 @@
 
 // shiftedDemand is a group with a fitting map whose demand has just jumped: in each
 // layer, one expert is liked by far the most.
-func shiftedDemand(t testing.TB) (*Placement, Popularity, []float64) {
+func jumpedDemand(t testing.TB) (*Placement, Popularity, []float64) {
 	t.Helper()
 	shape := Shape{Ranks: 12, Experts: 96, Layers: 3, Slots: 11}
 	p, err := NewPlacement(shape)
@@ -257,9 +257,9 @@
 
 // inForce is the mean skew over a time in which plans follow each other, each in force
 // once its copies are made: what the callers of a group get.
-func inForce(t testing.TB, over time.Duration, times Timing, plan func(*Placement, Popularity, []float64) []Move) float64 {
+func meanSkew(t testing.TB, over time.Duration, times Timing, plan func(*Placement, Popularity, []float64) []Move) float64 {
 	t.Helper()
-	p, popularity, speeds := shiftedDemand(t)
+	p, popularity, speeds := jumpedDemand(t)
 	total, at := 0.0, time.Duration(0)
 	for at < over {
 		next := p.Clone()
@@ -275,7 +275,7 @@
 // second leaves less skew over the four seconds after a jump than one that brings
 // everything at once; where copies are quick it
 // doesn't leave more.
-func TestPlansCountTheTimeOfCopies(t *testing.T) {
+func TestPlansAccountForCopyTime(t *testing.T) {
 	for _, example := range []struct {
 		copy     time.Duration
 		mostPart float64
@@ -293,7 +293,7 @@
 			}
 		}
 		const over = 4 * time.Second
-		timed, atOnce := inForce(t, over, times, with(times)), inForce(t, over, times, with(Timing{}))
+		timed, atOnce := meanSkew(t, over, times, with(times)), meanSkew(t, over, times, with(Timing{}))
 		t.Logf("copies of %s: mean skew %.3f, all at once %.3f", example.copy, timed, atOnce)
 		if timed > example.mostPart*atOnce {
 			t.Errorf("copies of %s: mean skew %.3f, want at most %.2f of %.3f", example.copy, timed, example.mostPart, atOnce)
@@ -302,13 +302,13 @@
 }
 
 // TestQuickerCopiesNeverLeaveMoreSkew: more link never makes it worse.
-func TestQuickerCopiesNeverLeaveMoreSkew(t *testing.T) {
+func TestFasterCopiesNeverIncreaseSkew(t *testing.T) {
 	const slack = 1.02 // batches of whole copies don't always end on time
 	planner := NewPlanner(Shape{Ranks: 12, Experts: 96, Layers: 3, Slots: 11})
 	last := math.Inf(1)
 	for _, copyTime := range []time.Duration{800, 400, 200, 100, 50, 25} {
 		times := Timing{Copy: copyTime * time.Millisecond, Switch: 300 * time.Millisecond}
-		skew := inForce(t, 4*time.Second, times, func(p *Placement, popularity Popularity, speeds []float64) []Move {
+		skew := meanSkew(t, 4*time.Second, times, func(p *Placement, popularity Popularity, speeds []float64) []Move {
 			return planner.Plan(p, popularity, speeds, Options{
 				SkewWeight: 1, CostWeight: 1, MaxMoves: 170, MaxNewPerRank: 4, TargetRatio: 1.12, Timing: times,
 			})
@@ -325,8 +325,8 @@
 // pass up until it has no experts left that others could run. After two switches of
 // 0.7 s, plans that only add replicas left a skew of 2.08, since a part of each expert's
 // work stays; plans that drop replicas, too, leave 1.24.
-func TestASlowRankGetsRidOfItsWork(t *testing.T) {
-	p, popularity, speeds := shiftedDemand(t)
+func TestSlowRankDropsItsReplicas(t *testing.T) {
+	p, popularity, speeds := jumpedDemand(t)
 	speeds[5] = 1.0 / 12
 	times := Timing{Copy: 400 * time.Millisecond, Switch: 300 * time.Millisecond}
 	planner := NewPlanner(p.Shape)
