--- a/internal/platformdaemon/admin.go
+++ b/internal/platformdaemon/admin.go
@@ -31,48 +31,48 @@
 	now := e.clock.Now()
 	var list []*rpc.ServerStatus
 	for id, server := range registry.All() {
-		seen := e.board.ServerStatus(server.Key(), now)
+		status := e.balancer.ServerStatus(server.Key(), now)
 		age := int64(-1)
-		if !seen.ReportedAt.IsZero() {
-			age = now.Sub(seen.ReportedAt).Milliseconds()
+		if !status.ReportedAt.IsZero() {
+			age = now.Sub(status.ReportedAt).Milliseconds()
 		}
 		list = append(list, &rpc.ServerStatus{
-			Name: id, Zone: server.Zone, State: serverState(server, seen), ReportAgeMs: age,
-			InFlight: int64(seen.InFlight), Queued: int64(seen.Waiting),
+			Name: id, Zone: server.Zone, State: serverState(server, status), ReportAgeMs: age,
+			InFlight: int64(status.InFlight), Queued: int64(status.Waiting),
 		})
 	}
 	return list
 }
 
-func serverState(server *fleet.Server, seen dispatch.ServerStatus) string {
+func serverState(server *fleet.Server, status dispatch.ServerStatus) string {
 	switch {
 	case server.Leaving:
 		return "leaving"
-	case seen.Exclusion != nil:
-		return string(seen.Exclusion.Reason)
-	case seen.Limit != nil:
-		return limitState(seen.Limit)
+	case status.Exclusion != nil:
+		return string(status.Exclusion.Reason)
+	case status.Limit != nil:
+		return limitState(status.Limit)
 	case server.Rank != nil && !server.Rank.Open:
 		return "group broken"
-	case seen.BackingOff:
+	case status.BackingOff:
 		return "failing"
 	default:
 		return "up"
 	}
 }
 
-// limitState says what a server takes, and what is left of it.
+// limitState describes a server's request limit and this entry's use of it.
 func limitState(limit *ratelimit.Status) string {
-	return fmt.Sprintf("limited to %.3g a second, said %s ago; %.0f%% of it used from here, %.1f tokens", limit.PerSecond,
+	return fmt.Sprintf("limited to %.3g requests/s, reported %s ago; share of this entry %.0f%%, %.1f tokens left", limit.PerSecond,
 		limit.Age.Round(100*time.Millisecond), 100*limit.Share, limit.Tokens)
 }
 
-// Explain implements admin.Host. Requests on the platform are told apart by host and
-// path, not by model.
+// Explain implements admin.Host. On the platform, routes match host and path; the model
+// is ignored.
 func (e *EntryDaemon) Explain(customer, _, path string) (string, map[string]string, error) {
 	config, registry := e.members.Config(), e.members.Servers()
 	if config == nil || registry == nil {
-		return "", nil, errors.New("no configuration is known yet")
+		return "", nil, errors.New("no configuration received yet")
 	}
 	host, rest, _ := strings.Cut(path, "/")
 	found := config.Route(host, "/"+rest)
@@ -82,30 +82,30 @@
 	reasons := map[string]string{}
 	rules := found.Name
 	for _, target := range found.Targets {
-		rule, ofTarget := e.steering.Explain(registry, target.Service, customer)
+		rule, targetReasons := e.steering.Explain(registry, target.Service, customer)
 		if rule != "" {
 			rules += " > " + rule
 		}
-		for id, reason := range ofTarget {
+		for id, reason := range targetReasons {
 			reasons[id] = reason
 			if server := registry.Server(id); reason == "" && server != nil {
-				reasons[id] = e.ownWord(server)
+				reasons[id] = e.selfReported(server)
 			}
 		}
 	}
 	return rules, reasons, nil
 }
 
-// ownWord is why a server gets no requests by what it says of itself, registered or in
-// answers, or "".
-func (e *EntryDaemon) ownWord(server *fleet.Server) string {
+// selfReported returns why a server gets no requests by its own registration or
+// responses, or "".
+func (e *EntryDaemon) selfReported(server *fleet.Server) string {
 	if server.Leaving {
 		return "leaving"
 	}
-	if bar := e.board.Exclusion(server.Key(), e.clock.Now()); bar != nil {
-		return bar.String()
+	if exclusion := e.balancer.Exclusion(server.Key(), e.clock.Now()); exclusion != nil {
+		return exclusion.String()
 	}
-	if limit := e.board.Limits().Status(server.Key(), e.clock.Now()); limit != nil && limit.Tokens < 1 {
+	if limit := e.balancer.Limits().Status(server.Key(), e.clock.Now()); limit != nil && limit.Tokens < 1 {
 		return limitState(limit)
 	}
 	return ""
--- a/internal/platformdaemon/agent.go
+++ b/internal/platformdaemon/agent.go
@@ -26,24 +26,23 @@
 )
 
 const (
-	// loadPace is the time between an agent's own looks at its engine, after which it
-	// tells the entries what has changed.
-	loadPace = 120 * time.Millisecond
-	// membersPace is the time between questions to an entry for what is newer. It
-	// costs no call to the store.
-	membersPace = time.Second
-	// firstPace replaces it after the first question that left configuration or servers
-	// unknown, and doubles up to it with each further one: when all daemons start together,
-	// the entries know none at first. At membersPace, an agent knew neither for 1.05 s. It
-	// grows, so that thousands of agents don't press entries that can't tell.
-	firstPace = 100 * time.Millisecond
-	// configPace is the time between questions for the configuration once one is known.
-	configPace = 15 * time.Second
-	// engineTimeout bounds a look at the engine on the same VM.
+	// loadInterval is the time between load reports to the entries.
+	loadInterval = 120 * time.Millisecond
+	// membersInterval is the time between pulls of changes from an entry. A pull costs no
+	// call to the store.
+	membersInterval = time.Second
+	// initialMembersInterval applies until configuration and servers are known and doubles
+	// up to membersInterval: when all daemons start together, entries have nothing to send
+	// at first, and thousands of agents must not overload them.
+	initialMembersInterval = 100 * time.Millisecond
+	// configInterval is the time between pulls of the configuration once one is known.
+	configInterval = 15 * time.Second
+	// engineTimeout bounds a status request to the engine on the same VM.
 	engineTimeout = 200 * time.Millisecond
 )
 
-// AgentDaemon is the daemon beside a model engine.
+// AgentDaemon runs on the VM of a model engine: it reports the engine's load and relays
+// expert map commands to it.
 type AgentDaemon struct {
 	settings *platform.Settings
 	log      *logrus.Entry
@@ -51,17 +50,17 @@
 	exchange *membership.Exchange
 	agent    *experts.Agent
 	leader   *ranks.Leader
-	// configAt is when an entry was asked for the configuration last.
-	configAt time.Time
+	// configRequestedAt is the time of the last pull of the configuration.
+	configRequestedAt time.Time
 }
 
-// NewAgentDaemon wires an agent.
+// NewAgentDaemon creates an agent from its settings.
 func NewAgentDaemon(s *platform.Settings, log *logrus.Entry) *AgentDaemon {
 	members := membership.New(platform.Records{}, clock.New(log).Now, log)
 	client := &http.Client{Transport: upstream.NewTransport(), Timeout: controlTimeout}
 	engines := platform.NewEngines(upstream.NewTransport())
 	agent := experts.NewAgent(engines, s.LocalServer, time.Now, log)
-	options := ranks.Options{Daemon: s.Daemon, IP: s.IP, CountsBandwidth: countRoom(s.LinkMbps)}
+	options := ranks.Options{Daemon: s.Daemon, IP: s.IP, CountsBandwidth: countsBandwidth(s.LinkMbps)}
 	store := platform.NewStore(s.Store, upstream.NewTransport())
 	daemon.WatchEra(store.Eras(), log)
 	exchange := membership.NewExchange(members, membership.Peer{Zone: s.Zone}, s.Seeds, client, log)
@@ -72,7 +71,8 @@
 	}
 }
 
-// Run serves holders, and is one when it has the lease, until the context ends.
+// Run serves the group's lease holder, and acts as holder while it has the lease, until
+// the context ends.
 func (a *AgentDaemon) Run(ctx context.Context) error {
 	limitMemory(a.settings.MemoryMB)
 	group, tasks := errgroup.WithContext(ctx)
@@ -95,11 +95,11 @@
 	}
 	datagrams, err := net.ListenPacket("udp4", ownAddress(a.settings, rankPort))
 	if err != nil {
-		return errors.Wrap(err, "rank calls")
+		return errors.Wrap(err, "listen for rank calls")
 	}
 	group.Go(func() error { return ranks.Serve(tasks, datagrams, service, "", a.log) })
 	group.Go(func() error {
-		a.followMembers(tasks)
+		a.pullMembers(tasks)
 		return nil
 	})
 	group.Go(func() error {
@@ -111,7 +111,7 @@
 		return err
 	}
 	group.Go(func() error {
-		a.feedLoad(tasks, sender)
+		a.publishLoad(tasks, sender)
 		return sender.Close()
 	})
 	group.Go(func() error {
@@ -124,52 +124,53 @@
 	return err
 }
 
-// followMembers keeps the fleet's state up to date from the entries.
-func (a *AgentDaemon) followMembers(ctx context.Context) {
-	pace := firstPace
+// pullMembers keeps configuration and server registrations up to date by pulling them
+// from a random entry.
+func (a *AgentDaemon) pullMembers(ctx context.Context) {
+	interval := initialMembersInterval
 	for ctx.Err() == nil {
 		peers := a.exchange.Peers()
 		if len(peers) > 0 {
 			peer := peers[rand.IntN(len(peers))]
-			ask := a.exchange.PullServers
+			pull := a.exchange.PullServers
 			if a.configDue() {
-				ask = a.exchange.Pull
+				pull = a.exchange.Pull
 			}
-			if err := ask(ctx, peer); err != nil {
+			if err := pull(ctx, peer); err != nil {
 				a.log.WithError(err).WithField("peer", peer).Debug("peer not reached")
 			}
 		}
 		if a.members.Config() != nil && a.members.Servers() != nil {
-			pace = membersPace
+			interval = membersInterval
 		}
-		wait.For(ctx, pace)
-		pace = min(2*pace, membersPace)
+		wait.For(ctx, interval)
+		interval = min(2*interval, membersInterval)
 	}
 }
 
-// configDue tells whether the configuration is to be asked for too. An agent
-// needs little of it, the engines' figures, and the whole may be large.
+// configDue reports whether the next pull includes the configuration, and notes the time
+// if so. An agent needs only the engine parameters of it, and the whole may be large.
 func (a *AgentDaemon) configDue() bool {
-	if a.members.Config() != nil && time.Since(a.configAt) < configPace {
+	if a.members.Config() != nil && time.Since(a.configRequestedAt) < configInterval {
 		return false
 	}
-	a.configAt = time.Now()
+	a.configRequestedAt = time.Now()
 	return true
 }
 
-// feedLoad tells the entries the engine's load.
-func (a *AgentDaemon) feedLoad(ctx context.Context, sender *loadfeed.Sender) {
+// publishLoad sends the engine's load to the entries until the context ends.
+func (a *AgentDaemon) publishLoad(ctx context.Context, sender *loadfeed.Sender) {
 	for ctx.Err() == nil {
-		if err := a.tellLoad(ctx, sender); err != nil {
-			a.log.WithError(err).Debug("load not told")
+		if err := a.sendLoad(ctx, sender); err != nil {
+			a.log.WithError(err).Debug("load report not sent")
 		}
-		wait.For(ctx, loadPace)
+		wait.For(ctx, loadInterval)
 	}
 }
 
-// tellLoad looks at the engine once. That nobody listens there is news, too: the entries
-// find out sooner under which requests it ended.
-func (a *AgentDaemon) tellLoad(ctx context.Context, sender *loadfeed.Sender) error {
+// sendLoad sends one load report, or an exit report when the engine refuses connections,
+// so that entries identify the requests it crashed under sooner.
+func (a *AgentDaemon) sendLoad(ctx context.Context, sender *loadfeed.Sender) error {
 	report, err := a.report(ctx)
 	switch {
 	case errors.Is(err, syscall.ECONNREFUSED):
@@ -181,7 +182,7 @@
 	}
 }
 
-// entries returns the addresses of the entries heard of.
+// entries returns the addresses of the known entries.
 func (a *AgentDaemon) entries() []netip.Addr {
 	var found []netip.Addr
 	for _, peer := range a.exchange.Peers() {
@@ -192,29 +193,31 @@
 	return found
 }
 
+// report requests the engine's state.
 func (a *AgentDaemon) report(ctx context.Context) (experts.RankReport, error) {
 	ctx, cancel := context.WithTimeout(ctx, engineTimeout)
 	defer cancel()
 	report, err := a.agent.RefreshReport(ctx)
 	if err != nil {
-		a.log.WithError(err).Debug("engine not reached")
+		a.log.WithError(err).Debug("engine status request failed")
 	}
 	return report, err
 }
 
-// linkPart is the part of the VM's link that a holder's counts may fill;
-// otherLink is taken for a link whose rate isn't told, in bits a second.
 const (
-	linkPart    = 0.25
-	otherLink   = 20e6
-	bitsPerByte = 8
+	// countsLinkFraction is the fraction of the VM's link that expert counts sent to a
+	// holder may use.
+	countsLinkFraction = 0.25
+	// defaultLinkRate is assumed for a link without a configured rate, in bits per second.
+	defaultLinkRate = 20e6
+	bitsPerByte     = 8
 )
 
-// countRoom is how many bytes of counts a second may come over a link.
-func countRoom(linkMbps float64) float64 {
+// countsBandwidth returns the bytes per second of expert counts that a link may carry.
+func countsBandwidth(linkMbps float64) float64 {
 	link := linkMbps * 1e6
 	if link <= 0 {
-		link = otherLink
+		link = defaultLinkRate
 	}
-	return linkPart * link / bitsPerByte
+	return countsLinkFraction * link / bitsPerByte
 }
--- a/internal/platformdaemon/directory.go
+++ b/internal/platformdaemon/directory.go
@@ -11,19 +11,19 @@
 	"github.com/pkg/errors"
 )
 
-// directory finds the ranks of groups among the registered servers. It
-// implements ranks.Directory.
+// directory resolves the ranks of groups to registered servers. It implements
+// ranks.Directory.
 type directory struct {
 	settings *platform.Settings
 	members  *membership.Membership
 }
 
-// Place implements ranks.Directory. Of several servers that registered as one
-// rank, that of the newest epoch counts.
+// Endpoints implements ranks.Directory. If several servers are registered as one
+// rank, the one with the newest epoch wins.
 func (d directory) Endpoints(group string, rank int) (ranks.Endpoints, error) {
 	servers := d.members.Servers()
 	if servers == nil {
-		return ranks.Endpoints{}, errors.New("no servers known yet")
+		return ranks.Endpoints{}, errors.New("no server registrations received yet")
 	}
 	var found *fleet.Server
 	for _, server := range servers.All() {
@@ -46,7 +46,7 @@
 	return ranks.Endpoints{Server: found.ID, Agent: agent, Engine: found.Address, ChecksFence: d.settings.EnginesFence}, nil
 }
 
-// Terms implements ranks.Directory. The group is that of the engine on this VM.
+// Parameters implements ranks.Directory for the group of the engine on this VM.
 func (d directory) Parameters(string) (ranks.Parameters, bool) {
 	config, servers := d.members.Config(), d.members.Servers()
 	if config == nil || servers == nil {
--- a/internal/platformdaemon/limitgossip.go
+++ b/internal/platformdaemon/limitgossip.go
@@ -15,121 +15,123 @@
 )
 
 const (
-	// limitsPace is the least time between messages of what has changed: what is sent to
-	// servers meanwhile is told together.
-	limitsPace = 10 * time.Millisecond
-	// idleLimitsPace is the time between looks at which entries there are while no server has
-	// a limit.
-	idleLimitsPace = time.Second
-	// limitDatagram bounds a datagram that is read, in bytes.
-	limitDatagram = 4096
+	// minLimitsInterval is the minimum time between messages, which batches changes.
+	minLimitsInterval = 10 * time.Millisecond
+	// idleLimitsInterval is the time between updates of the peer list while no server has a
+	// limit.
+	idleLimitsInterval = time.Second
+	// maxLimitDatagram is the size of the receive buffer, in bytes.
+	maxLimitDatagram = 4096
 )
 
-// tellLimits tells the other entries of servers' limits and what this one sends, as datagrams.
-func (e *EntryDaemon) tellLimits(ctx context.Context, conn net.PacketConn) {
-	limits := e.board.Limits()
-	refresh := time.NewTimer(idleLimitsPace)
+// publishLimits sends servers' limits and this entry's use of them to the other entries, as
+// datagrams.
+func (e *EntryDaemon) publishLimits(ctx context.Context, conn net.PacketConn) {
+	limits := e.balancer.Limits()
+	refresh := time.NewTimer(idleLimitsInterval)
 	defer refresh.Stop()
-	idle := true // others take who tells nothing for silent, once a server has a limit
+	idle := true // no server has a limit; otherwise peers expect periodic messages
 	for {
-		var news []*peerrpc.LimitNews
+		var messages []*peerrpc.LimitNews
 		select {
 		case <-limits.Changed():
-			news = limits.Updates(e.clock.Now())
+			messages = limits.Updates(e.clock.Now())
 			if idle {
 				refresh.Reset(limits.RefreshInterval())
 			}
 			idle = false
 		case <-refresh.C:
-			e.meet()
-			news = limits.RefreshMessages(e.clock.Now())
+			e.updatePeers()
+			messages = limits.RefreshMessages(e.clock.Now())
 			if idle = !limits.Any(); idle {
-				refresh.Reset(idleLimitsPace)
+				refresh.Reset(idleLimitsInterval)
 				break
 			}
-			e.logPart()
+			e.logLimitShare()
 			refresh.Reset(limits.RefreshInterval())
 		case <-ctx.Done():
 			return
 		}
-		for _, message := range news {
+		for _, message := range messages {
 			e.sendLimits(conn, message)
 		}
-		wait.For(ctx, limitsPace)
+		wait.For(ctx, minLimitsInterval)
 	}
 }
 
-// logPart writes which part of servers' limits is used, when it's another one.
-func (e *EntryDaemon) logPart() {
-	part, heard := e.board.Limits().Share(e.clock.Now())
-	if part == e.limitPart {
+// logLimitShare logs the fraction of servers' limits that this entry may use when it
+// changes.
+func (e *EntryDaemon) logLimitShare() {
+	share, peers := e.balancer.Limits().Share(e.clock.Now())
+	if share == e.limitShare {
 		return
 	}
-	e.log.WithFields(logrus.Fields{"part": part, "before": e.limitPart, "heard": heard}).Info("another part of servers' limits is used")
-	e.limitPart = part
+	e.log.WithFields(logrus.Fields{"part": share, "before": e.limitShare, "heard": peers}).Info("share of server limits changed")
+	e.limitShare = share
 }
 
+// sendLimits sends a message to every known entry.
 func (e *EntryDaemon) sendLimits(conn net.PacketConn, message *peerrpc.LimitNews) {
 	data, err := proto.Marshal(message)
 	if err != nil {
-		e.log.WithError(err).Error("limits not encoded")
+		e.log.WithError(err).Error("server limits not encoded")
 		return
 	}
 	for _, peer := range e.exchange.Peers() {
 		address, err := netip.ParseAddrPort(peer)
 		if err != nil {
-			continue // the exchange logs peers that can't be reached
+			continue // the exchange logs unreachable peers
 		}
 		to := netip.AddrPortFrom(address.Addr(), uint16(e.settings.FirstPort+limitPort))
 		if _, err := conn.WriteTo(data, net.UDPAddrFromAddrPort(to)); err != nil {
-			e.log.WithError(err).WithField("peer", peer).Debug("limits not told")
+			e.log.WithError(err).WithField("peer", peer).Debug("server limits not sent")
 		}
 	}
 }
 
-// meet takes in which other entries there are.
-func (e *EntryDaemon) meet() {
+// updatePeers passes the other entries and their last contact to the limit table.
+func (e *EntryDaemon) updatePeers() {
 	for control, at := range e.exchange.LastContacts() {
 		if address, err := netip.ParseAddrPort(control); err == nil {
-			e.board.Limits().MarkPeerSeen(address.Addr().String(), at)
+			e.balancer.Limits().MarkPeerSeen(address.Addr().String(), at)
 		}
 	}
 }
 
-// hearLimits takes in what other entries tell, until the context ends.
-func (e *EntryDaemon) hearLimits(ctx context.Context, conn net.PacketConn) error {
+// receiveLimits merges limits from other entries until the context ends.
+func (e *EntryDaemon) receiveLimits(ctx context.Context, conn net.PacketConn) error {
 	stop := context.AfterFunc(ctx, func() { _ = conn.Close() }) // ends the read
 	defer stop()
-	defer func() { _ = conn.Close() }() // a read that brought something as the context ended stops the other
-	buffer := make([]byte, limitDatagram)
+	defer func() { _ = conn.Close() }() // in case the loop returns before AfterFunc has run
+	buffer := make([]byte, maxLimitDatagram)
 	for {
 		n, from, err := conn.ReadFrom(buffer)
 		if ctx.Err() != nil {
 			return nil
 		}
 		if err != nil {
-			return errors.Wrap(err, "limits")
+			return errors.Wrap(err, "receive server limits")
 		}
-		var news peerrpc.LimitNews
-		if err := proto.Unmarshal(buffer[:n], &news); err != nil {
-			e.log.WithError(err).Debug("limits not understood")
+		var message peerrpc.LimitNews
+		if err := proto.Unmarshal(buffer[:n], &message); err != nil {
+			e.log.WithError(err).Debug("invalid server limits datagram")
 			continue
 		}
 		source, ok := from.(*net.UDPAddr)
 		if !ok {
-			continue // the socket is UDP's
+			continue // unreachable: the socket is UDP
 		}
-		for _, change := range e.board.Limits().Receive(source.IP.String(), &news, e.clock.Now()) {
-			e.logLimit(change, source.IP.String())
+		for _, change := range e.balancer.Limits().Receive(source.IP.String(), &message, e.clock.Now()) {
+			e.logPeerLimit(change, source.IP.String())
 		}
 	}
 }
 
-// logLimit writes what another entry told of a server.
-func (e *EntryDaemon) logLimit(change ratelimit.Change, source string) {
+// logPeerLimit logs a change of a server's limit that another entry reported.
+func (e *EntryDaemon) logPeerLimit(change ratelimit.Change, source string) {
 	e.log.WithFields(logrus.Fields{
 		"start": change.Server, "source": source, "limit": change.Limit.PerSecond, "named": change.Limit.Present,
 		"before": change.Previous.PerSecond, "before_named": change.Previous.Present,
 		"age_ms": e.clock.Now().Sub(change.Limit.ReceivedAt).Milliseconds(),
-	}).Info("another entry knows another limit of a server")
+	}).Info("server limit updated by another entry")
 }
--- a/internal/platformdaemon/log.go
+++ b/internal/platformdaemon/log.go
@@ -1,6 +1,5 @@
-// Package platformdaemon runs crowbridge's daemons on the users' platform: it wires
-// the platform's adapter, the membership, the request pipeline and the expert
-// maps into the processes of entry VMs and of the VMs beside model engines.
+// Package platformdaemon implements the daemons that run on the users' platform: the
+// entry, which serves callers, and the agent, which runs on the VM of a model engine.
 package platformdaemon
 
 import (
@@ -14,17 +13,17 @@
 )
 
 const (
-	// logQueue is how many lines may wait to be written.
-	logQueue = 512
-	// logPerSecond bounds the lines written; what is over is counted and left out.
-	logPerSecond = 200
-	// memoryPart is the part of a process's memory that the Go runtime may use before
-	// it collects harder; the rest is for stacks and unread bytes of connections.
-	memoryPart = 0.7
+	// maxQueuedLines bounds the lines waiting to be written.
+	maxQueuedLines = 512
+	// maxLinesPerSecond bounds the lines written; excess lines are counted and dropped.
+	maxLinesPerSecond = 200
+	// memoryLimitFraction is the Go runtime's soft limit as a fraction of the process's
+	// memory limit; the rest is for thread stacks and socket buffers.
+	memoryLimitFraction = 0.7
 )
 
-// boundedWriter passes lines on without ever blocking the writer. Lines over
-// the rate or over what can wait are counted and dropped.
+// boundedWriter writes lines in the background and never blocks its caller. Lines that
+// exceed the rate or the queue are counted and dropped.
 type boundedWriter struct {
 	lines   chan []byte
 	now     func() time.Time
@@ -35,10 +34,10 @@
 var droppedLines = metrics.NewCounter("crowbridge_log_lines_dropped_total")
 
 func newBoundedWriter(w io.Writer, now func() time.Time) *boundedWriter {
-	b := &boundedWriter{lines: make(chan []byte, logQueue), now: now}
+	b := &boundedWriter{lines: make(chan []byte, maxQueuedLines), now: now}
 	go func() {
 		for line := range b.lines {
-			_, _ = w.Write(line) // there is nowhere to tell
+			_, _ = w.Write(line) // a failure of the log output can't be logged
 		}
 	}()
 	return b
@@ -49,7 +48,7 @@
 	if second := b.now().Unix(); second != b.second {
 		b.second, b.written = second, 0
 	}
-	if b.written++; b.written > logPerSecond {
+	if b.written++; b.written > maxLinesPerSecond {
 		droppedLines.Inc()
 		return len(line), nil
 	}
@@ -61,7 +60,7 @@
 	return len(line), nil
 }
 
-// NewLogger returns a structured logger to standard output.
+// NewLogger returns a logger that writes JSON lines to standard output.
 func NewLogger(daemon, zone string) *logrus.Entry {
 	logger := logrus.New()
 	logger.SetOutput(newBoundedWriter(os.Stdout, time.Now))
@@ -69,9 +68,10 @@
 	return logger.WithFields(logrus.Fields{"daemon": daemon, "zone": zone})
 }
 
-// limitMemory keeps the Go runtime below the process's limit.
+// limitMemory sets the Go runtime's soft memory limit for a process limit in MiB; 0 means
+// none.
 func limitMemory(megabytes int64) {
 	if megabytes > 0 {
-		debug.SetMemoryLimit(int64(memoryPart * float64(megabytes<<20)))
+		debug.SetMemoryLimit(int64(memoryLimitFraction * float64(megabytes<<20)))
 	}
 }
--- a/internal/platformdaemon/ports.go
+++ b/internal/platformdaemon/ports.go
@@ -7,8 +7,8 @@
 	"github.com/crowbridge/crowbridge/platform"
 )
 
-// Offsets in the range of ports for calls between daemons; two processes on one
-// VM share the range.
+// Offsets into the port range for traffic between daemons. Two processes on one VM share
+// the range.
 const (
 	metricsPort = 1
 	rankPort    = 2
--- a/internal/platformdaemon/reload.go
+++ b/internal/platformdaemon/reload.go
@@ -12,18 +12,18 @@
 	"github.com/sirupsen/logrus"
 )
 
-// settingsPoll is how often the settings file is looked at: it may change
+// settingsPollInterval is the time between reads of the settings file, which may change
 // without a signal.
-const settingsPoll = 5 * time.Second
+const settingsPollInterval = 5 * time.Second
 
-// WatchSettings calls apply with each changed state of the settings file, on
-// SIGHUP or when the file is seen to differ. A file that can't be read changes
-// nothing. What needs a restart (addresses, ports) is named in the log.
+// WatchSettings calls apply with the new settings after each change of the settings file,
+// on SIGHUP or when a poll finds one, until the context ends. An invalid file is logged and
+// ignored. The log says whether a change, such as of an address or port, needs a restart.
 func WatchSettings(ctx context.Context, current *platform.Settings, log *logrus.Entry, apply func(*platform.Settings)) {
 	hangup := make(chan os.Signal, 1)
 	signal.Notify(hangup, syscall.SIGHUP)
 	defer signal.Stop(hangup)
-	ticker := time.NewTicker(settingsPoll)
+	ticker := time.NewTicker(settingsPollInterval)
 	defer ticker.Stop()
 	for {
 		signalled := false
@@ -36,12 +36,12 @@
 		}
 		changed, err := platform.LoadSettings(current.Path)
 		if err != nil {
-			log.WithError(err).Error("settings not reloaded: the old ones stay in force")
+			log.WithError(err).Error("settings not reloaded; keeping the previous ones")
 			continue
 		}
 		if reflect.DeepEqual(changed, current) {
 			if signalled {
-				log.Info("settings reloaded: nothing has changed")
+				log.Info("settings reloaded: no changes")
 			}
 			continue
 		}
@@ -51,7 +51,7 @@
 	}
 }
 
-// needsRestart tells whether something changed that a running process can't take over.
+// needsRestart reports whether a setting differs that a running process can't apply.
 func needsRestart(a, b *platform.Settings) bool {
 	return a.Callers != b.Callers || a.Readiness != b.Readiness || a.Control != b.Control || a.IP != b.IP ||
 		a.FirstPort != b.FirstPort || a.Store != b.Store || a.LocalServer != b.LocalServer
--- a/internal/platformdaemon/reload_test.go
+++ b/internal/platformdaemon/reload_test.go
@@ -17,14 +17,14 @@
 	logrustest "github.com/sirupsen/logrus/hooks/test"
 )
 
-func TestHosted(t *testing.T) {
+func TestPlatformDaemon(t *testing.T) {
 	RegisterFailHandler(Fail)
-	RunSpecs(t, "hosted")
+	RunSpecs(t, "platformdaemon")
 }
 
-const patience = 20 * time.Second
+const timeout = 20 * time.Second
 
-func quietLog() *logrus.Entry {
+func discardLog() *logrus.Entry {
 	logger, _ := logrustest.NewNullLogger()
 	return logrus.NewEntry(logger)
 }
@@ -38,25 +38,25 @@
 provider: {address: "127.0.0.1:2"}
 `
 
-var _ = Describe("a changed settings file", func() {
-	It("is taken over on SIGHUP, and a broken one changes nothing", func() {
-		// Registered here too, so that a signal before WatchSettings listens is harmless.
+var _ = Describe("WatchSettings", func() {
+	It("applies a changed file on SIGHUP and ignores an invalid one", func() {
+		// Without a handler, a SIGHUP before WatchSettings has registered kills the process.
 		ignored := make(chan os.Signal, 1)
 		signal.Notify(ignored, syscall.SIGHUP)
 		DeferCleanup(func() { signal.Stop(ignored) })
 		path := filepath.Join(GinkgoT().TempDir(), "settings.yaml")
-		write := func(text string) { Expect(os.WriteFile(path, []byte(text), 0o600)).To(Succeed()) }
-		write(settingsText)
+		writeSettings := func(text string) { Expect(os.WriteFile(path, []byte(text), 0o600)).To(Succeed()) }
+		writeSettings(settingsText)
 		current, err := platform.LoadSettings(path)
 		Expect(err).NotTo(HaveOccurred())
 		applied := make(chan []string, 8)
 		ctx, cancel := context.WithCancel(context.Background())
-		ended := make(chan struct{})
+		done := make(chan struct{})
 		go func() {
-			WatchSettings(ctx, current, quietLog(), func(s *platform.Settings) { applied <- s.Seeds })
-			close(ended)
+			WatchSettings(ctx, current, discardLog(), func(s *platform.Settings) { applied <- s.Seeds })
+			close(done)
 		}()
-		hangUp := func() []string {
+		sendHangup := func() []string {
 			Expect(syscall.Kill(os.Getpid(), syscall.SIGHUP)).To(Succeed())
 			select {
 			case seeds := <-applied:
@@ -65,11 +65,11 @@
 				return nil
 			}
 		}
-		write("node_name: [broken")
-		Consistently(hangUp, "100ms").Should(BeNil())
-		write(strings.Replace(settingsText, "127.0.0.1:1", "127.0.0.1:9", 1))
-		Eventually(hangUp, patience).Should(Equal([]string{"127.0.0.1:9"}))
+		writeSettings("node_name: [broken")
+		Consistently(sendHangup, "100ms").Should(BeNil())
+		writeSettings(strings.Replace(settingsText, "127.0.0.1:1", "127.0.0.1:9", 1))
+		Eventually(sendHangup, timeout).Should(Equal([]string{"127.0.0.1:9"}))
 		cancel()
-		Eventually(ended, patience).Should(BeClosed())
+		Eventually(done, timeout).Should(BeClosed())
 	})
 })
--- a/internal/platformdaemon/selectors.go
+++ b/internal/platformdaemon/selectors.go
@@ -15,20 +15,20 @@
 	"github.com/pkg/errors"
 )
 
-// selectorsWait is how long one read of the product's configuration waits for a
-// change: each is paid for, and the store lets none wait for more than 30 s.
-const selectorsWait = 28 * time.Second
+// selectorsPollTimeout bounds one long poll of the product's configuration. The store
+// charges for each read and allows at most 30 s.
+const selectorsPollTimeout = 28 * time.Second
 
-// steeredFleet is what the request pipeline asks: the platform's configuration and
-// registrations, narrowed by the operators' selectors. It implements dispatch.Fleet.
-type steeredFleet struct {
+// filteredFleet is the platform's configuration and registrations, restricted by the
+// operators' selectors. It implements dispatch.Fleet.
+type filteredFleet struct {
 	*membership.Membership
 	steering *steering.Filter
 }
 
-// Config implements dispatch.Fleet: nothing is served before it's known which
-// selectors there are.
-func (f steeredFleet) Config() *fleet.Config {
+// Config implements dispatch.Fleet. It returns nil until the selectors are known, so that
+// no request bypasses them.
+func (f filteredFleet) Config() *fleet.Config {
 	if !f.steering.Ready() {
 		return nil
 	}
@@ -36,22 +36,22 @@
 }
 
 // Allowed implements dispatch.Fleet.
-func (f steeredFleet) Allowed(service, customer string) ([]*fleet.Server, string) {
+func (f filteredFleet) Allowed(service, customer string) ([]*fleet.Server, string) {
 	return f.steering.Allowed(f.Servers(), service, customer)
 }
 
-// peersSource reads the product's configuration from any entry heard of. It
-// implements replica.Source.
-type peersSource struct {
+// peerSource reads the product's configuration from a random known entry. It implements
+// replica.Source.
+type peerSource struct {
 	daemon string
 	peers  func() []string
 	client *http.Client
 }
 
 // Name implements replica.Source.
-func (peersSource) Name() string { return "another entry" }
+func (peerSource) Name() string { return "another entry" }
 
-func (s peersSource) any() (*replica.PeerSource, error) {
+func (s peerSource) randomPeer() (*replica.PeerSource, error) {
 	peers := s.peers()
 	if len(peers) == 0 {
 		return nil, errors.New("no other entry is known")
@@ -60,8 +60,8 @@
 }
 
 // Records implements replica.Source.
-func (s peersSource) Records(ctx context.Context, after storelog.Position, wait time.Duration) (replica.Batch, error) {
-	source, err := s.any()
+func (s peerSource) Records(ctx context.Context, after storelog.Position, wait time.Duration) (replica.Batch, error) {
+	source, err := s.randomPeer()
 	if err != nil {
 		return replica.Batch{}, err
 	}
@@ -69,8 +69,8 @@
 }
 
 // State implements replica.Source.
-func (s peersSource) State(ctx context.Context) (*config.State, error) {
-	source, err := s.any()
+func (s peerSource) State(ctx context.Context) (*config.State, error) {
+	source, err := s.randomPeer()
 	if err != nil {
 		return nil, err
 	}
