--- a/internal/ratelimit/bucket.go
+++ b/internal/ratelimit/bucket.go
@@ -6,65 +6,67 @@
 )
 
 const (
-	// leastRate is the least that a server is sent, in requests a second, all daemons
-	// together: only in an answer can it say that it takes more.
-	leastRate = 1.0 / 30
-	// mostRate stands for all that bounds nothing here.
-	mostRate = 1e6
-	// safety is the part of a limit that is used: the rest is for requests of daemons
-	// that nobody hears.
-	safety = 0.95
-	// leastBurst is how many tokens a bucket holds besides what the waits and the rate ask
-	// for, burstTime the time for which it fills: requests don't come evenly.
-	leastBurst = 2.6
-	burstTime  = 100 * time.Millisecond
-	// mostDebt and mostDebtTime bound what a bucket owes: a count that can't be true, in a
-	// damaged message, shouldn't shut a server off for good.
-	mostDebt     = 30.0
-	mostDebtTime = 10 * time.Second
-	// onTheirWay is the debt with which a limit begins, for requests that were sent before
-	// its word was heard.
-	onTheirWay = 1
-	// nearerBy is how far a bucket moves towards another daemon's at each message.
-	nearerBy = 0.1
-	// mostGap is what no two buckets are apart.
-	mostGap = 1e6
+	// minRate is the lowest assumed limit, in requests per second over all daemons: a server
+	// can raise its limit only in a response, so it must receive some requests.
+	minRate = 1.0 / 30
+	// maxRate caps limits that have no practical effect.
+	maxRate = 1e6
+	// safetyFactor is the fraction of a limit that is used; the rest covers requests from
+	// daemons that are unreachable.
+	safetyFactor = 0.95
+	// minBurst is the bucket's base capacity in tokens, burstTime the refill time added to it.
+	// Both absorb uneven arrivals.
+	minBurst  = 2.6
+	burstTime = 100 * time.Millisecond
+	// maxDebt and maxDebtTime bound a bucket's debt, so that a corrupt count cannot block a
+	// server permanently.
+	maxDebt     = 30.0
+	maxDebtTime = 10 * time.Second
+	// initialDebt is the debt of a new bucket. It covers requests sent before the limit was
+	// received.
+	initialDebt = 1
+	// convergenceFactor is the fraction of the gap to a peer's bucket that is closed per
+	// message.
+	convergenceFactor = 0.1
+	// maxGap is the largest plausible gap between two buckets.
+	maxGap = 1e6
 )
 
-// bucket holds the tokens of one server: all daemons' requests take from it. Below 0 it's in
-// debt.
+// bucket is a token bucket for one server. Requests of all daemons take tokens from it; a
+// negative count is debt.
 type bucket struct {
-	tokens float64
-	at     time.Time
+	tokens    float64
+	updatedAt time.Time
 }
 
-// fill brings the bucket up to date.
-func (b *bucket) fill(rate, spread float64, now time.Time) {
-	if elapsed := now.Sub(b.at).Seconds(); elapsed > 0 {
+// refill adds the tokens earned since the last update and clamps the count. jitter is the
+// largest random wait in tokens.
+func (b *bucket) refill(rate, jitter float64, now time.Time) {
+	if elapsed := now.Sub(b.updatedAt).Seconds(); elapsed > 0 {
 		b.tokens += rate * elapsed
-		b.at = now
+		b.updatedAt = now
 	}
-	b.tokens = min(b.tokens, leastBurst+spread+rate*burstTime.Seconds())
-	b.tokens = max(b.tokens, -max(mostDebt, rate*mostDebtTime.Seconds()))
+	b.tokens = min(b.tokens, minBurst+jitter+rate*burstTime.Seconds())
+	b.tokens = max(b.tokens, -max(maxDebt, rate*maxDebtTime.Seconds()))
 }
 
-// untilHolds is how long it takes until the bucket holds some tokens; 0 if it does.
-func (b *bucket) untilHolds(tokens, rate float64) time.Duration {
+// untilAvailable returns the time until the bucket holds the tokens, or 0 if it does now.
+func (b *bucket) untilAvailable(tokens, rate float64) time.Duration {
 	if b.tokens >= tokens {
 		return 0
 	}
 	return time.Duration(math.Ceil((tokens - b.tokens) / rate * float64(time.Second)))
 }
 
-// fell takes in that the rate has fallen: what was saved up, or owed, at a higher one would count
-// for much longer now. One token is a request at any rate.
-func (b *bucket) fell() { b.tokens = min(max(b.tokens, 0), 1) }
+// clampAfterDecrease limits tokens and debt after the rate decreased: both would otherwise
+// last much longer than intended. One token is one request at any rate.
+func (b *bucket) clampAfterDecrease() { b.tokens = min(max(b.tokens, 0), 1) }
 
-// nearer takes in what another daemon's bucket of the same server holds. They drift apart as
-// messages come late and daemons join; a daemon whose bucket held less than all others' would
-// never have its turn.
-func (b *bucket) nearer(tokens float64) {
-	if gap := tokens - b.tokens; math.Abs(gap) < mostGap {
-		b.tokens += nearerBy * gap
+// convergeTo moves the bucket towards a peer's bucket for the same server. Buckets drift apart
+// as messages are delayed and daemons join; a daemon whose bucket stays below all others would
+// starve.
+func (b *bucket) convergeTo(tokens float64) {
+	if gap := tokens - b.tokens; math.Abs(gap) < maxGap {
+		b.tokens += convergenceFactor * gap
 	}
 }
--- a/internal/ratelimit/peers.go
+++ b/internal/ratelimit/peers.go
@@ -3,106 +3,107 @@
 import "time"
 
 const (
-	// refreshLeast is the time between messages to each other daemon while a limit is in
-	// force, refreshEach what each daemon adds to it: the messages of all to all are kept
-	// to 50 a second at each.
-	refreshLeast = 250 * time.Millisecond
-	refreshEach  = 20 * time.Millisecond
-	// silentRefreshes is how many messages a daemon may have missed before it counts as
-	// silent, silentSlack what one may take on its way.
-	silentRefreshes = 3
-	silentSlack     = 200 * time.Millisecond
-	// forgetPeer is how long a daemon that is no longer heard of counts as one that may
-	// still send: it may be cut off, or gone for good.
-	forgetPeer = 2 * time.Minute
+	// minRefreshInterval is the shortest interval between refresh messages to a peer while a
+	// limit is in force. refreshPerPeer raises it with the number of peers, which bounds the
+	// received messages to 50 per second.
+	minRefreshInterval = 250 * time.Millisecond
+	refreshPerPeer     = 20 * time.Millisecond
+	// maxMissedRefreshes is the number of missed messages after which a peer is unresponsive,
+	// refreshSlack the allowed delay of one message.
+	maxMissedRefreshes = 3
+	refreshSlack       = 200 * time.Millisecond
+	// peerRetention is how long a peer without contact counts as one that may still send
+	// requests: it may be partitioned, or gone.
+	peerRetention = 2 * time.Minute
 )
 
-// peers are the other daemons that send to servers, by address.
+// peers are the other daemons that send requests to servers, by address.
 type peers struct {
 	all map[string]*peer
-	// since is when the first limit came into force: before it nobody tells anything.
-	since time.Time
-	// lastOwn, lastPart and lastHeard are what was found at partAt.
-	partAt            time.Time
-	lastOwn, lastPart float64
-	lastHeard         int
+	// limitsSince is when the first limit came into force. Peers send no messages before it.
+	limitsSince time.Time
+	// lastLocal, lastShare and lastReachable are cached results as of countedAt.
+	countedAt            time.Time
+	lastLocal, lastShare float64
+	lastReachable        int
 }
 
-// peer is one of them.
+// peer is another daemon.
 type peer struct {
-	// heard is when it told of limits last, met when it was heard of in another way.
-	heard, met time.Time
-	// left is the process that said it sends nothing more.
-	left uint64
-	// part is the part of limits that it told; 0 when it told none.
-	part float64
+	// messageAt is the time of its last message, contactAt that of the last other contact.
+	messageAt, contactAt time.Time
+	// departed is the ID of the process that announced its departure, or 0.
+	departed uint64
+	// share is the fraction of limits that it reported, or 0.
+	share float64
 }
 
-func (p *peers) at(address string) *peer {
-	known := p.all[address]
-	if known == nil {
-		known = &peer{}
-		p.all[address] = known
+func (p *peers) get(address string) *peer {
+	entry := p.all[address]
+	if entry == nil {
+		entry = &peer{}
+		p.all[address] = entry
 	}
-	return known
+	return entry
 }
 
-// refresh is the time between messages to each of them.
-func (p *peers) refresh() time.Duration {
-	return max(refreshLeast, time.Duration(len(p.all))*refreshEach)
+// refreshInterval returns the interval between refresh messages.
+func (p *peers) refreshInterval() time.Duration {
+	return max(minRefreshInterval, time.Duration(len(p.all))*refreshPerPeer)
 }
 
-// partHolds is for how long it isn't counted anew which daemons are heard: each choice asks.
-const partHolds = 50 * time.Millisecond
+// shareCacheTime is how long the set of reachable peers is cached.
+const shareCacheTime = 50 * time.Millisecond
 
-// part is the part of each limit that this daemon and those that it hears may use, and
-// their number.
-func (p *peers) part(now time.Time) (part float64, heard int) {
-	p.look(now)
-	return p.lastPart, p.lastHeard
+// share returns the fraction of each limit that the reachable daemons may use, and their
+// number including this one.
+func (p *peers) share(now time.Time) (share float64, reachable int) {
+	p.update(now)
+	return p.lastShare, p.lastReachable
 }
 
-// own is the part of each limit by what this daemon knows itself.
-func (p *peers) own(now time.Time) float64 {
-	p.look(now)
-	return p.lastOwn
+// localShare returns the fraction of each limit by local observation only.
+func (p *peers) localShare(now time.Time) float64 {
+	p.update(now)
+	return p.lastLocal
 }
 
-// silence is after how long without a message a daemon counts as silent.
-func (p *peers) silence() time.Duration { return silentRefreshes*p.refresh() + silentSlack }
+// timeout returns the time without a message after which a peer is unresponsive.
+func (p *peers) timeout() time.Duration { return maxMissedRefreshes*p.refreshInterval() + refreshSlack }
 
-// CutAdds is what a cut adds to what a server with a limit gets, once and at most: what the other
-// side sends until it's noticed that it's silent, and what its bucket held.
-func PartitionExcess(limit float64) (noticed time.Duration, most float64) {
-	noticed = silentRefreshes*refreshLeast + silentSlack
-	return noticed, limit*(noticed+burstTime).Seconds() + leastBurst + mostSpread/2
+// PartitionExcess returns how long a network partition remains undetected, and the maximum
+// number of extra requests that a server with the limit receives in that time.
+func PartitionExcess(limit float64) (undetected time.Duration, extra float64) {
+	undetected = maxMissedRefreshes*minRefreshInterval + refreshSlack
+	return undetected, limit*(undetected+burstTime).Seconds() + minBurst + maxJitterRange/2
 }
 
-// look counts anew which daemons are heard, if that was long ago. A daemon that is new may not
-// know of those that can't be heard: it uses no more than the others that it hears.
-func (p *peers) look(now time.Time) {
-	if p.lastHeard != 0 && now.Sub(p.partAt) < partHolds && !now.Before(p.partAt) {
+// update recounts the reachable peers, at most once per shareCacheTime. A new daemon may not
+// know unreachable peers, so the share is at most the lowest one that a reachable peer
+// reports.
+func (p *peers) update(now time.Time) {
+	if p.lastReachable != 0 && now.Sub(p.countedAt) < shareCacheTime && !now.Before(p.countedAt) {
 		return
 	}
-	silence := p.silence()
-	known, heard, least := 1, 1, 1.0
-	for address, other := range p.all {
-		if now.Sub(latest(other.heard, other.met)) > forgetPeer {
+	timeout := p.timeout()
+	total, reachable, minShare := 1, 1, 1.0
+	for address, peer := range p.all {
+		if now.Sub(latest(peer.messageAt, peer.contactAt)) > peerRetention {
 			delete(p.all, address)
 			continue
 		}
-		if other.left != 0 {
+		if peer.departed != 0 {
 			continue
 		}
-		known++
-		if now.Sub(latest(other.heard, p.since)) > silence {
+		total++
+		if now.Sub(latest(peer.messageAt, p.limitsSince)) > timeout {
 			continue
 		}
-		heard++
-		if other.part > 0 {
-			least = min(least, other.part)
+		reachable++
+		if peer.share > 0 {
+			minShare = min(minShare, peer.share)
 		}
 	}
-	p.partAt, p.lastHeard, p.lastOwn = now, heard, float64(heard)/float64(known)
-	p.lastPart = min(p.lastOwn, least)
+	p.countedAt, p.lastReachable, p.lastLocal = now, reachable, float64(reachable)/float64(total)
+	p.lastShare = min(p.lastLocal, minShare)
 }
--- a/internal/ratelimit/table.go
+++ b/internal/ratelimit/table.go
@@ -10,88 +10,87 @@
 )
 
 const (
-	// spreadEach is how many tokens each daemon adds to the longest wait that one draws,
-	// within leastSpread and mostSpread: two daemons of eight have their turns some
-	// thirtieth of the time between two requests apart.
-	spreadEach  = 0.04
-	leastSpread = 0.1
-	mostSpread  = 1.0
-	// aheadMargin, behindMargin and freshMargin are how many tokens more the bucket has to
-	// hold for a customer that has got more than the others, for each rank of priority
-	// that a request is behind, mostBehind ranks at most, and for a caller that hasn't been
-	// refused before while others wait to come back. Tokens that nobody else takes are
-	// theirs after all.
-	aheadMargin  = 1.0
-	behindMargin = 0.1
-	mostBehind   = 3
-	freshMargin  = 0.2
-	// keepWord is how long a word is kept of a start of a server that is no longer
-	// registered: registrations may come back.
-	keepWord = 10 * time.Minute
+	// jitterPerDaemon is the random wait, in tokens, that each daemon adds to the range,
+	// within minJitterRange and maxJitterRange. With eight daemons, two waits differ by about
+	// a thirtieth of the request interval.
+	jitterPerDaemon = 0.04
+	minJitterRange  = 0.1
+	maxJitterRange  = 1.0
+	// The margins are extra tokens that the bucket must hold: overShareMargin for a customer
+	// above its fair share, priorityMargin per priority rank below the highest, up to
+	// maxPriorityGap ranks, and newRequestMargin for a first attempt while refused callers are
+	// due to return. Tokens that no other request takes remain available to these requests.
+	overShareMargin  = 1.0
+	priorityMargin   = 0.1
+	maxPriorityGap   = 3
+	newRequestMargin = 0.2
+	// retention is how long the limit of an unregistered server incarnation is kept:
+	// registrations may come back.
+	retention = 10 * time.Minute
 )
 
-// Want is a request that a server may get.
+// Request is a request that is to be sent to a server.
 type Request struct {
 	Customer string
-	// Behind is how many ranks of priority it's less urgent than others.
+	// PriorityGap is the number of priority ranks below the highest.
 	PriorityGap int
-	// Repeated is set when its caller was refused before.
+	// Retry is set when the caller was refused before.
 	Retry bool
 }
 
-// customer is the name under which the request's customer is told to other daemons.
-func (w Request) customer() uint64 { return xxhash.Sum64String(w.Customer) }
+// customerHash identifies the customer in messages.
+func (w Request) customerHash() uint64 { return xxhash.Sum64String(w.Customer) }
 
-// Table holds the limits that servers have named, by the server's start. Its lock is a
-// leaf. Safe for concurrent use.
+// Table holds the rate limits of servers by incarnation. It is safe for concurrent use; no
+// other lock is taken while its lock is held.
 type Table struct {
-	// id names this process to the others, never 0.
+	// id identifies this process in messages; never 0.
 	id     uint64
 	random func() float64
-	// limited is how many servers have a limit: while none has, nothing else is looked at.
+	// limited is the number of servers with a limit. While it is 0, calls return without
+	// locking.
 	limited atomic.Int64
 
 	mu      sync.Mutex
 	servers map[string]*server
 	peers   peers
-	// changed gets a value when there is something to tell; dirty are the servers.
+	// changed receives a value when dirty, the servers with pending updates, becomes
+	// non-empty.
 	changed chan struct{}
 	dirty   map[string]bool
 }
 
-// server is one that has named a limit.
+// server is the state of a server that reported a limit.
 type server struct {
-	word   Limit
+	limit  Limit
 	bucket bucket
-	// wait is how many tokens more than one there have to be for this daemon now.
-	wait float64
-	// own are this daemon's counts, told the others', by process; last is the customer that
-	// got the last one here.
-	own  counts
-	told map[uint64]heardCounts
-	last uint64
-	// waiting are callers that were told to come back and haven't, anywhere, as far as
-	// that is known: those that come are served at the server's rate.
-	waiting   float64
-	waitingAt time.Time
-	turns     turns
-	// toldAt is when the others were told of it last, toldOnce is set while the last news were
-	// told once only.
-	toldAt   time.Time
-	toldOnce bool
+	// jitter is the number of extra tokens that this daemon waits for now.
+	jitter float64
+	// local are this daemon's counts, peers those of other processes by ID.
+	local        counts
+	peers        map[uint64]peerCounts
+	lastCustomer uint64
+	// backlog estimates the refused callers, at any daemon, that have yet to return. It
+	// decreases at the server's rate.
+	backlog   float64
+	backlogAt time.Time
+	usage     customerUsages
+	// encodedAt is when the limit was last put into a message. resend is set while the last
+	// update was sent only once.
+	encodedAt time.Time
+	resend    bool
 }
 
-// counts are what one daemon's process has done since it knows the limit.
+// counts are one process's requests and refusals since it learned the limit.
 type counts struct{ sent, refused int64 }
 
-// heardCounts are another daemon's, as it told them at a time.
-type heardCounts struct {
+// peerCounts are a peer's counts as received at a time.
+type peerCounts struct {
 	counts
 	at time.Time
 }
 
-// New returns an empty table. id names the process; random returns a number from 0 to
-// below 1.
+// New returns an empty table. id identifies the process; random returns a number in [0, 1).
 func New(id uint64, random func() float64) *Table {
 	return &Table{
 		id: id, random: random, servers: map[string]*server{}, peers: peers{all: map[string]*peer{}},
@@ -99,110 +98,110 @@
 	}
 }
 
-// Limited is how many servers have a limit.
+// LimitedServers returns the number of servers with a limit.
 func (t *Table) LimitedServers() int { return int(t.limited.Load()) }
 
-// Any tells whether a server has a limit.
+// Any reports whether any server has a limit.
 func (t *Table) Any() bool { return t.LimitedServers() > 0 }
 
-// Heard takes in what a server said. It returns what it had said, and whether this is
-// another limit.
-func (t *Table) UpdateLimit(key string, word Limit) (before Limit, changed bool) {
-	if !word.Present && !t.Any() {
+// UpdateLimit applies a limit that a server reported. It returns the previous limit and
+// whether the limit changed.
+func (t *Table) UpdateLimit(key string, limit Limit) (before Limit, changed bool) {
+	if !limit.Present && !t.Any() {
 		return Limit{}, false
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.updateLimit(key, word, word.ReceivedAt)
+	return t.updateLimit(key, limit, limit.ReceivedAt)
 }
 
-// take takes in a word. The lock is held.
-func (t *Table) updateLimit(key string, word Limit, now time.Time) (before Limit, changed bool) {
+// updateLimit applies a reported limit. The caller holds the lock.
+func (t *Table) updateLimit(key string, limit Limit, now time.Time) (before Limit, changed bool) {
 	s := t.servers[key]
 	if s == nil {
-		if !word.Present {
+		if !limit.Present {
 			return Limit{}, false
 		}
-		s = &server{told: map[uint64]heardCounts{}, turns: turns{customers: map[uint64]*turn{}}}
+		s = &server{peers: map[uint64]peerCounts{}, usage: customerUsages{customers: map[uint64]*customerUsage{}}}
 		t.servers[key] = s
 	}
-	before = s.word
-	s.word = word.after(before)
-	if s.word.same(before) {
+	before = s.limit
+	s.limit = limit.supersede(before)
+	if s.limit.equal(before) {
 		return before, false
 	}
 	switch {
-	case !s.word.Present:
+	case !s.limit.Present:
 		t.limited.Add(-1)
-		s.waiting = 0
+		s.backlog = 0
 	case !before.Present:
-		t.began(now)
-		s.bucket = bucket{at: now, tokens: -onTheirWay}
-		s.draw(t)
-	case s.word.allowsLess(before):
-		s.bucket.fell()
+		t.limitAdded(now)
+		s.bucket = bucket{updatedAt: now, tokens: -initialDebt}
+		s.drawJitter(t)
+	case s.limit.stricterThan(before):
+		s.bucket.clampAfterDecrease()
 	}
-	t.tell(key)
+	t.markDirty(key)
 	return before, true
 }
 
-// began notes that one server more has a limit.
-func (t *Table) began(now time.Time) {
+// limitAdded counts a server that received a limit.
+func (t *Table) limitAdded(now time.Time) {
 	if t.limited.Add(1) == 1 {
-		t.peers.since = now
+		t.peers.limitsSince = now
 	}
 }
 
-// tell puts a server among those of which there is news.
-func (t *Table) tell(key string) {
+// markDirty schedules an update about a server.
+func (t *Table) markDirty(key string) {
 	t.dirty[key] = true
 	select {
 	case t.changed <- struct{}{}:
-	default: // there is news already
+	default: // already signaled
 	}
 }
 
-// rate is how many requests a second a server is sent by all daemons that hear each other.
-func (s *server) rate(part float64) float64 {
-	return safety * part * min(max(s.word.PerSecond, leastRate), mostRate)
+// rate returns the total request rate of the reachable daemons to the server, per second.
+func (s *server) rate(share float64) float64 {
+	return safetyFactor * share * min(max(s.limit.PerSecond, minRate), maxRate)
 }
 
-// spread is the longest wait that is drawn among some daemons.
-func spread(daemons int) float64 {
-	return min(max(spreadEach*float64(daemons), leastSpread), mostSpread)
+// jitterRange returns the largest random wait, in tokens, for a number of daemons.
+func jitterRange(daemons int) float64 {
+	return min(max(jitterPerDaemon*float64(daemons), minJitterRange), maxJitterRange)
 }
 
-// draw draws the wait of this daemon for the next token.
-func (s *server) draw(t *Table) {
-	_, heard := t.peers.part(s.bucket.at)
-	s.wait = t.random() * spread(heard)
+// drawJitter draws this daemon's random wait for the next token.
+func (s *server) drawJitter(t *Table) {
+	_, reachable := t.peers.share(s.bucket.updatedAt)
+	s.jitter = t.random() * jitterRange(reachable)
 }
 
-// left is how long a server may not be sent a request; 0 if it may now.
-func (t *Table) left(s *server, want Request, now time.Time) time.Duration {
-	part, heard := t.peers.part(now)
-	rate := s.rate(part)
-	s.bucket.fill(rate, spread(heard), now)
-	needs := 1 + s.wait + behindMargin*float64(min(max(want.PriorityGap, 0), mostBehind))
-	if s.turns.ahead(want.customer(), rate, now) {
-		needs += aheadMargin
+// wait returns how long the request must wait for the server's limit; 0 if it may be sent now.
+func (t *Table) wait(s *server, r Request, now time.Time) time.Duration {
+	share, reachable := t.peers.share(now)
+	rate := s.rate(share)
+	s.bucket.refill(rate, jitterRange(reachable), now)
+	needs := 1 + s.jitter + priorityMargin*float64(min(max(r.PriorityGap, 0), maxPriorityGap))
+	if s.usage.overShare(r.customerHash(), rate, now) {
+		needs += overShareMargin
 	}
-	if !want.Retry && s.waitingNow(rate, now) >= 1 {
-		needs += freshMargin
+	if !r.Retry && s.currentBacklog(rate, now) >= 1 {
+		needs += newRequestMargin
 	}
-	return s.bucket.untilHolds(needs, rate)
+	return s.bucket.untilAvailable(needs, rate)
 }
 
-// limitedServer returns a server with a limit, or nil. The lock is held.
+// limitedServer returns a server with a limit, or nil. The caller holds the lock.
 func (t *Table) limitedServer(key string) *server {
-	if s := t.servers[key]; s != nil && s.word.Present {
+	if s := t.servers[key]; s != nil && s.limit.Present {
 		return s
 	}
 	return nil
 }
 
-// Left returns for how long a server may not get a request, by its limit; 0 if it may now.
-func (t *Table) Wait(key string, want Request, now time.Time) time.Duration {
+// Wait returns how long the request must wait for the server's limit; 0 if it may be sent now.
+func (t *Table) Wait(key string, r Request, now time.Time) time.Duration {
 	if !t.Any() {
 		return 0
 	}
@@ -212,11 +211,11 @@
 	if s == nil {
 		return 0
 	}
-	return t.left(s, want, now)
+	return t.wait(s, r, now)
 }
 
-// Next returns how long it is until a server takes a request, whoever's; 0 if it does now or
-// has no limit.
+// UntilAvailable returns the time until the server accepts a request of any customer; 0 if it
+// does now or has no limit.
 func (t *Table) UntilAvailable(key string, now time.Time) time.Duration {
 	if !t.Any() {
 		return 0
@@ -227,15 +226,15 @@
 	if s == nil {
 		return 0
 	}
-	part, heard := t.peers.part(now)
-	rate := s.rate(part)
-	s.bucket.fill(rate, spread(heard), now)
-	return s.bucket.untilHolds(1+s.wait, rate)
+	share, reachable := t.peers.share(now)
+	rate := s.rate(share)
+	s.bucket.refill(rate, jitterRange(reachable), now)
+	return s.bucket.untilAvailable(1+s.jitter, rate)
 }
 
-// Take is asked just before a request's first bytes go to a server. It returns 0 when they
-// may, and the request counts, or else for how long they may not.
-func (t *Table) Acquire(key string, want Request, now time.Time) time.Duration {
+// Acquire is called just before the first byte of a request is sent. It takes a token and
+// returns 0, or returns how long the request must wait.
+func (t *Table) Acquire(key string, r Request, now time.Time) time.Duration {
 	if !t.Any() {
 		return 0
 	}
@@ -245,47 +244,49 @@
 	if s == nil {
 		return 0
 	}
-	if left := t.left(s, want, now); left > 0 {
-		return left
+	if wait := t.wait(s, r, now); wait > 0 {
+		return wait
 	}
-	part, _ := t.peers.part(now)
-	s.own.sent++
-	s.last = want.customer()
-	s.count(1, part, now)
-	s.turns.got(s.last, s.rate(part), now)
-	s.draw(t)
-	t.tell(key)
+	share, _ := t.peers.share(now)
+	s.local.sent++
+	s.lastCustomer = r.customerHash()
+	s.consume(1, share, now)
+	s.usage.record(s.lastCustomer, s.rate(share), now)
+	s.drawJitter(t)
+	t.markDirty(key)
 	return 0
 }
 
-// count takes tokens for requests that were sent.
-func (s *server) count(sent float64, part float64, now time.Time) {
+// consume takes tokens for sent requests.
+func (s *server) consume(sent float64, share float64, now time.Time) {
 	s.bucket.tokens -= sent
-	s.waitingNow(s.rate(part), now)
-	s.waiting = max(s.waiting-sent, 0)
+	s.currentBacklog(s.rate(share), now)
+	s.backlog = max(s.backlog-sent, 0)
 }
 
-// Woke is called after the VM was suspended: what was sent meanwhile isn't known.
+// Resumed discards saved tokens after the VM was suspended, because requests sent by peers in
+// the meantime are unknown.
 func (t *Table) Resumed(now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, s := range t.servers {
 		s.bucket.tokens = min(s.bucket.tokens, 0)
-		s.bucket.at = now
+		s.bucket.updatedAt = now
 	}
 }
 
-// Keep forgets servers that aren't registered and said nothing for long.
+// Prune removes servers that are not registered and have not reported a limit within
+// retention.
 func (t *Table) Prune(registered func(key string) bool, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for key, s := range t.servers {
-		if registered(key) || now.Sub(s.word.ReceivedAt) <= keepWord {
-			s.turns.forget(s.rate(1), now)
-			maps.DeleteFunc(s.told, func(_ uint64, c heardCounts) bool { return now.Sub(c.at) > keepWord })
+		if registered(key) || now.Sub(s.limit.ReceivedAt) <= retention {
+			s.usage.prune(s.rate(1), now)
+			maps.DeleteFunc(s.peers, func(_ uint64, c peerCounts) bool { return now.Sub(c.at) > retention })
 			continue
 		}
-		if s.word.Present {
+		if s.limit.Present {
 			t.limited.Add(-1)
 		}
 		delete(t.servers, key)
