--- a/cmd/crowbridged/entry.go
+++ b/cmd/crowbridged/entry.go
@@ -102,7 +102,7 @@
 		MaxBody: cmd.Int("max-body"), MaxResponse: int64(cmd.Int("max-answer")),
 		MaxConcurrent: cmd.Int("max-concurrent"), PollsPerSecond: cmd.Int("reports-per-second"),
 	}, rep, time.Now, p.log)
-	daemon.ExportLedger(e.Ledger)
+	daemon.ExportLedger(e.OutcomeCounts)
 	err = serveEntry(p, s, e, rep)
 	if err == nil {
 		p.awaitStop()
@@ -111,7 +111,7 @@
 	if taskErr := p.finish(); err == nil {
 		err = taskErr
 	}
-	p.log.WithField("ledger", e.Ledger()).Info("entry stopped")
+	p.log.WithField("ledger", e.OutcomeCounts()).Info("entry stopped")
 	return err
 }
 
--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -26,8 +26,8 @@
 type Host interface {
 	Name() string
 	Zone() string
-	// Ledger counts how requests ended.
-	Ledger() outcome.Counts
+	// OutcomeCounts counts how requests ended.
+	OutcomeCounts() outcome.Counts
 	// Servers are the backend servers as the daemon sees them, in any order.
 	Servers() []*rpc.ServerStatus
 	// Explain tells which route takes a customer's request for a model or a path, and
@@ -241,7 +241,7 @@
 		Daemon: a.host.Name(), Zone: a.host.Zone(), Offset: int64(at), StateHash: hash,
 		LogAgeMs: a.replica.LogAge().Milliseconds(),
 		Servers:  a.host.Servers(),
-		Ledgers:  []*rpc.Ledger{rpc.LedgerFrom(a.host.Name(), a.host.Ledger())},
+		Ledgers:  []*rpc.Ledger{rpc.LedgerFrom(a.host.Name(), a.host.OutcomeCounts())},
 	}
 	slices.SortFunc(reply.Servers, func(x, y *rpc.ServerStatus) int { return strings.Compare(x.Name, y.Name) })
 	for _, lease := range a.holders(ctx) {
--- a/internal/entry/access_test.go
+++ b/internal/entry/access_test.go
@@ -122,7 +122,7 @@
 		response, _ := f.post(keyOfRozsa, "/v1/chat/completions", completion, nil)
 		Expect(response.StatusCode).To(Equal(http.StatusTooManyRequests))
 		close(release)
-		Eventually(func() int64 { return f.entry.Ledger().InFlight }, "5s").Should(BeZero())
+		Eventually(func() int64 { return f.entry.OutcomeCounts().InFlight }, "5s").Should(BeZero())
 	})
 
 	It("passes a plain service's path, headers and body through untouched, but for the API key", func() {
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -183,8 +183,8 @@
 // CrashDetector is what the entry knows of requests that end servers.
 func (e *Entry) CrashDetector() *crash.Detector { return e.crashes }
 
-// Ledger returns how the requests accepted here ended.
-func (e *Entry) Ledger() outcome.Counts { return e.pipeline.OutcomeCounts() }
+// OutcomeCounts implements admin.Host.
+func (e *Entry) OutcomeCounts() outcome.Counts { return e.pipeline.OutcomeCounts() }
 
 // WatchConfiguration brings each change into force until the context
 // ends.
--- a/internal/entry/entry_test.go
+++ b/internal/entry/entry_test.go
@@ -124,7 +124,7 @@
 		for range 20 {
 			f.post(keyOfTulipan, "/v1/chat/completions", completion, nil)
 		}
-		counts := f.entry.Ledger()
+		counts := f.entry.OutcomeCounts()
 		Expect(counts.Accepted).To(Equal(int64(20)))
 		Expect(counts.InFlight).To(BeZero())
 		Expect(counts.Balanced()).To(BeTrue())
@@ -233,7 +233,7 @@
 		_, body := f.post(keyOfTulipan, "/v1/chat/completions", streamed, nil)
 		Expect(body).To(ContainSubstring("event: error"))
 		Expect(body).To(ContainSubstring(`"outcome":"unknown"`))
-		Eventually(func() int64 { return f.entry.Ledger().Unknown }).Should(Equal(int64(1)))
+		Eventually(func() int64 { return f.entry.OutcomeCounts().Unknown }).Should(Equal(int64(1)))
 	})
 
 	It("cancel the work when the caller leaves", func() {
@@ -258,7 +258,7 @@
 		Expect(err).NotTo(HaveOccurred())
 		leave()
 		Eventually(canceled, "5s").Should(BeClosed())
-		Eventually(func() int64 { return f.entry.Ledger().InFlight }).Should(BeZero())
+		Eventually(func() int64 { return f.entry.OutcomeCounts().InFlight }).Should(BeZero())
 	})
 })
 
--- a/internal/platformdaemon/admin.go
+++ b/internal/platformdaemon/admin.go
@@ -19,8 +19,8 @@
 // Zone implements admin.Host.
 func (e *EntryDaemon) Zone() string { return e.settings.Zone }
 
-// Ledger implements admin.Host.
-func (e *EntryDaemon) Ledger() outcome.Counts { return e.pipeline.OutcomeCounts() }
+// OutcomeCounts implements admin.Host.
+func (e *EntryDaemon) OutcomeCounts() outcome.Counts { return e.pipeline.OutcomeCounts() }
 
 // Servers implements admin.Host: the registered servers.
 func (e *EntryDaemon) Servers() []*rpc.ServerStatus {
