--- a/internal/quarantine/digest_test.go
+++ b/internal/quarantine/digest_test.go
@@ -20,7 +20,7 @@
 	}
 	first := of("florist", "POST", "h.example", "/a/x?p=1", "body")
 
-	It("is the same for a repeat", func() {
+	It("is the same for a retry", func() {
 		Expect(of("florist", "POST", "h.example", "/a/x?p=1", "body")).To(Equal(first))
 	})
 
@@ -30,10 +30,10 @@
 		Entry("the host", of("florist", "POST", "i.example", "/a/x?p=1", "body")),
 		Entry("the query", of("florist", "POST", "h.example", "/a/x?p=2", "body")),
 		Entry("the body", of("florist", "POST", "h.example", "/a/x?p=1", "bodies")),
-		Entry("where one field ends and the next begins", of("florist", "POST", "h.example/a", "/x?p=1", "body")),
+		Entry("the boundary between two fields", of("florist", "POST", "h.example/a", "/x?p=1", "body")),
 	)
 
-	It("is read from its text", func() {
+	It("is parsed from its text", func() {
 		Expect(quarantine.ParseDigest(first.String())).To(Equal(first))
 		inLog, err := json.Marshal(map[string]any{"digest": first})
 		Expect(err).NotTo(HaveOccurred())
--- a/internal/quarantine/evidence.go
+++ b/internal/quarantine/evidence.go
@@ -5,30 +5,30 @@
 	"time"
 )
 
-// About is what operators are told of a request.
+// RequestInfo describes a request to operators.
 type RequestInfo struct {
 	Customer string
-	// Path is without the query, at most pathBytes of it.
+	// Path excludes the query and is cut to maxPathBytes.
 	Path string
 }
 
-// pathBytes bounds a path that is told to other daemons, in bytes.
-const pathBytes = 200
+// maxPathBytes bounds a path that is sent to peers.
+const maxPathBytes = 200
 
-// AboutRequest says what a request is about. uri is the path with the query.
+// NewRequestInfo returns the description of a request. uri is the path with the query.
 func NewRequestInfo(customer, uri string) RequestInfo {
 	path, _, _ := strings.Cut(uri, "?")
-	return RequestInfo{Customer: customer, Path: path[:min(len(path), pathBytes)]}
+	return RequestInfo{Customer: customer, Path: path[:min(len(path), maxPathBytes)]}
 }
 
-// Evidence says that a server ended while a request was in progress there.
+// Evidence records that a server exited while a request was in progress there.
 type Evidence struct {
 	Digest Digest
 	Info   RequestInfo
 	Server string
-	// At is when, by this daemon's clock.
+	// ExitedAt is the time of the exit, by the local clock.
 	ExitedAt time.Time
-	// Cleared is set once the request has run to a good end, or was released by an
-	// operator: the server's end no longer counts against it.
+	// Cleared is set once the request completed successfully, or an operator released it: the
+	// exit no longer counts against it.
 	Cleared bool
 }
--- a/internal/quarantine/table.go
+++ b/internal/quarantine/table.go
@@ -8,55 +8,55 @@
 )
 
 const (
-	// cutOffKept is how long after an attempt was cut off its server may be found to have
-	// ended: registrations go after three missed heartbeats, five seconds at most.
-	cutOffKept = 8 * time.Second
-	// sameEnd is how far apart the same server's ends are at least, when it starts again
-	// under the ID that it had; what several daemons saw of one end is closer together.
-	sameEnd = 2 * time.Second
+	// lossRetention is how long after a lost connection its server may be found to have
+	// exited. A registration expires after three missed heartbeats, five seconds at most.
+	lossRetention = 8 * time.Second
+	// minExitGap is the minimum time between two exits of a server that restarts under the
+	// same ID. Reports of one exit by several daemons are closer together.
+	minExitGap = 2 * time.Second
 )
 
-// Table is one daemon's memory of servers that ended under requests. Tables that hear of
-// each other's evidence agree in the end, in whatever order and however often it comes:
-// evidence is only added, and only becomes cleared. Safe for concurrent use.
+// Table holds one daemon's evidence of servers that exited while running requests. Tables that
+// exchange evidence converge regardless of order and repetition: evidence is only added, and
+// only changes to cleared. It is safe for concurrent use.
 type Table struct {
-	mu       sync.Mutex // a leaf
+	mu       sync.Mutex // no other lock is taken while it is held
 	requests map[Digest]*request
-	// changes counts the changes of evidence, hash is of all of it.
+	// changes counts the changes of evidence; hash covers all evidence.
 	changes   int64
 	hash      uint64
 	expiredAt time.Time
 }
 
-// request is what is known of one request.
+// request is the state of one request.
 type request struct {
-	about RequestInfo
-	// inProgress are attempts of callers that run or wait here.
+	info RequestInfo
+	// inProgress counts the callers' attempts that run or wait at this daemon.
 	inProgress int
-	// cuts are attempts that were cut off, by server.
-	cuts map[string]cut // nil while there are none
-	ends map[string]end // nil while there are none
-	// ordered is until when the operators' configuration quarantines the request.
-	ordered time.Time
-	// announced is the number of ends that Announce told of.
-	announced int
+	// losses are lost connections, by server.
+	losses map[string]connectionLoss // nil while there are none
+	exits  map[string]exit           // nil while there are none
+	// configuredUntil is the end of the quarantine in the configuration.
+	configuredUntil time.Time
+	// announcedExits is the number of exits at the last MarkAnnounced.
+	announcedExits int
 }
 
-type cut struct {
+type connectionLoss struct {
 	at time.Time
-	// alive is set when the server seems to live on.
+	// alive is set when the server is presumed alive.
 	alive bool
 }
 
-type end struct {
+type exit struct {
 	at time.Time
-	// learned is when this daemon learned of it.
-	learned time.Time
-	cleared bool
-	// change is the table's change that made it so.
+	// learnedAt is when this daemon learned of the exit.
+	learnedAt time.Time
+	cleared   bool
+	// change is the table's change counter when this entry last changed.
 	change int64
-	// own is set when this daemon saw it.
-	own bool
+	// local is set if this daemon observed the exit.
+	local bool
 }
 
 // NewTable returns an empty table.
@@ -71,16 +71,16 @@
 	return r
 }
 
-// Empty tells whether nothing is known of any request: then all are sound, and there is no
-// need to work out their digests.
+// Empty reports whether no request has any evidence. All requests are healthy then, and need
+// no digest.
 func (t *Table) Empty() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return len(t.requests) == 0
 }
 
-// Enter asks whether a request may go to a server now. If it is sound or suspect it
-// counts as in progress until Leave.
+// Admit decides whether a request may be sent to a server now. A healthy or suspect request
+// counts as in progress until Release.
 func (t *Table) Admit(d Digest, now time.Time) Decision {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -93,27 +93,27 @@
 	if v.State == Healthy || v.State == Suspect {
 		r.inProgress++
 	}
-	t.drop(d, r)
+	t.dropIfEmpty(d, r)
 	return v
 }
 
-// Leave ends what Enter began.
+// Release ends an attempt that Admit permitted.
 func (t *Table) Release(d Digest) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	r := t.request(d)
 	r.inProgress--
-	t.drop(d, r)
+	t.dropIfEmpty(d, r)
 }
 
-// drop forgets a request of which nothing is known.
-func (t *Table) drop(d Digest, r *request) {
-	if r.inProgress <= 0 && len(r.cuts) == 0 && len(r.ends) == 0 && r.ordered.IsZero() {
+// dropIfEmpty removes a request without any state.
+func (t *Table) dropIfEmpty(d Digest, r *request) {
+	if r.inProgress <= 0 && len(r.losses) == 0 && len(r.exits) == 0 && r.configuredUntil.IsZero() {
 		delete(t.requests, d)
 	}
 }
 
-// Verdict tells what is held of a request.
+// Decision returns the decision about a request.
 func (t *Table) Decision(d Digest, now time.Time) Decision {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -124,23 +124,24 @@
 	return t.decide(d, r, now)
 }
 
-// CutOff notes that an attempt's connection to a server ended under it. It tells whether
-// this is the server's only one that is undecided: then somebody has to find out.
-func (t *Table) ConnectionLost(d Digest, about RequestInfo, server string, now time.Time) (first bool) {
+// ConnectionLost records that the connection to a server failed during an attempt. It reports
+// whether this is the server's only loss without a known cause: the caller then has to probe
+// the server.
+func (t *Table) ConnectionLost(d Digest, info RequestInfo, server string, now time.Time) (only bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	first = !t.exitPending(server, now)
+	only = !t.exitPending(server, now)
 	r := t.request(d)
-	r.about = about
-	if r.cuts == nil {
-		r.cuts = map[string]cut{}
+	r.info = info
+	if r.losses == nil {
+		r.losses = map[string]connectionLoss{}
 	}
-	r.cuts[server] = cut{at: now}
-	return first
+	r.losses[server] = connectionLoss{at: now}
+	return only
 }
 
-// Undecided tells whether attempts were cut off at a server of which it isn't known
-// whether it ended.
+// ExitPending reports whether connections to a server were lost and it is unknown whether it
+// exited.
 func (t *Table) ExitPending(server string, now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -149,92 +150,92 @@
 
 func (t *Table) exitPending(server string, now time.Time) bool {
 	for _, r := range t.requests {
-		if c, found := r.cuts[server]; found && !c.alive && now.Sub(c.at) < undecidedTime {
+		if loss, found := r.losses[server]; found && !loss.alive && now.Sub(loss.at) < lossPendingTime {
 			return true
 		}
 	}
 	return false
 }
 
-// Alive notes that a server has lived on after what was cut off there up to a time.
+// MarkAlive records that a server survived the connection losses up to a time.
 func (t *Table) MarkAlive(server string, upTo time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, r := range t.requests {
-		if c, found := r.cuts[server]; found && !c.at.After(upTo) {
+		if c, found := r.losses[server]; found && !c.at.After(upTo) {
 			c.alive = true
-			r.cuts[server] = c
+			r.losses[server] = c
 		}
 	}
 }
 
-// Ended notes that a server has ended. It returns the evidence against the requests whose
-// attempts were cut off there shortly before.
+// MarkExited records that a server exited. It returns the evidence against the requests that
+// recently lost their connection to it.
 func (t *Table) MarkExited(server string, now time.Time) []Evidence {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	var news []Evidence
+	var changed []Evidence
 	for d, r := range t.requests {
-		c, found := r.cuts[server]
+		c, found := r.losses[server]
 		if !found {
 			continue
 		}
-		delete(r.cuts, server)
-		if now.Sub(c.at) > cutOffKept {
-			t.drop(d, r)
+		delete(r.losses, server)
+		if now.Sub(c.at) > lossRetention {
+			t.dropIfEmpty(d, r)
 			continue
 		}
-		name, known := r.endOf(server, c.at)
+		name, known := r.exitName(server, c.at)
 		if known {
 			continue
 		}
-		t.setEnd(r, d, name, end{at: c.at, learned: now, own: true})
-		news = append(news, Evidence{Digest: d, Info: r.about, Server: name, ExitedAt: c.at})
+		t.setExit(r, d, name, exit{at: c.at, learnedAt: now, local: true})
+		changed = append(changed, Evidence{Digest: d, Info: r.info, Server: name, ExitedAt: c.at})
 	}
-	t.bound()
-	return news
+	t.evictExcess()
+	return changed
 }
 
-// endOf returns the name under which a server's end at a time is remembered, and whether
-// it is already. A server that starts again under the ID that it had ends more than once.
-func (r *request) endOf(server string, at time.Time) (name string, known bool) {
+// exitName returns the name under which a server's exit at a time is stored, and whether it is
+// stored already. A server that restarts under the same ID can exit more than once.
+func (r *request) exitName(server string, at time.Time) (name string, known bool) {
 	name = server
 	for n := 2; ; n++ {
-		e, found := r.ends[name]
+		e, found := r.exits[name]
 		if !found {
 			return name, false
 		}
-		if at.Sub(e.at).Abs() < sameEnd {
+		if at.Sub(e.at).Abs() < minExitGap {
 			return name, true
 		}
 		name = server + "#" + strconv.Itoa(n)
 	}
 }
 
-// setEnd puts one end into place.
-func (t *Table) setEnd(r *request, d Digest, server string, e end) {
-	if old, found := r.ends[server]; found {
+// setExit stores an exit and updates the hash.
+func (t *Table) setExit(r *request, d Digest, server string, e exit) {
+	if old, found := r.exits[server]; found {
 		t.hash ^= hashOf(d, server, old.cleared)
 	}
 	t.changes++
 	e.change = t.changes
-	if r.ends == nil {
-		r.ends = map[string]end{}
+	if r.exits == nil {
+		r.exits = map[string]exit{}
 	}
-	r.ends[server] = e
+	r.exits[server] = e
 	t.hash ^= hashOf(d, server, e.cleared)
 }
 
 func hashOf(d Digest, server string, cleared bool) uint64 {
 	h := fnv.New64a()
-	_, _ = h.Write(d[:]) // a hash can't fail
+	_, _ = h.Write(d[:]) // a hash never returns an error
 	_, _ = h.Write([]byte(server))
 	_, _ = h.Write([]byte(strconv.FormatBool(cleared)))
 	return h.Sum64()
 }
 
-// Served notes that a request has run to a good end: it ends no servers. It returns what
-// that clears.
+// MarkServed records that a request completed successfully. It returns the evidence that this
+// clears.
 func (t *Table) MarkServed(d Digest) []Evidence {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -242,35 +243,35 @@
 	if r == nil {
 		return nil
 	}
-	clear(r.cuts)
+	clear(r.losses)
 	return t.clear(d, r)
 }
 
 func (t *Table) clear(d Digest, r *request) []Evidence {
-	var news []Evidence
-	for server, e := range r.ends {
+	var changed []Evidence
+	for server, e := range r.exits {
 		if e.cleared {
 			continue
 		}
 		e.cleared = true
-		t.setEnd(r, d, server, e)
-		news = append(news, Evidence{Digest: d, Info: r.about, Server: server, ExitedAt: e.at, Cleared: true})
+		t.setExit(r, d, server, e)
+		changed = append(changed, Evidence{Digest: d, Info: r.info, Server: server, ExitedAt: e.at, Cleared: true})
 	}
-	t.drop(d, r)
-	return news
+	t.dropIfEmpty(d, r)
+	return changed
 }
 
-// Merge takes in other daemons' evidence and returns what of it was new.
+// Merge applies evidence of peers and returns the part that was new.
 func (t *Table) Merge(evidence []Evidence, now time.Time) []Evidence {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	var news []Evidence
+	var changed []Evidence
 	for _, e := range evidence {
 		if now.Sub(e.ExitedAt) > longQuarantine {
 			continue
 		}
 		r := t.request(e.Digest)
-		old, known := r.ends[e.Server]
+		old, known := r.exits[e.Server]
 		if known && (old.cleared || !e.Cleared) {
 			continue
 		}
@@ -278,61 +279,62 @@
 			e.ExitedAt = old.at
 		}
 		if e.Info != (RequestInfo{}) {
-			r.about = e.Info
+			r.info = e.Info
 		}
-		t.setEnd(r, e.Digest, e.Server, end{at: e.ExitedAt, learned: now, cleared: e.Cleared})
-		news = append(news, e)
+		t.setExit(r, e.Digest, e.Server, exit{at: e.ExitedAt, learnedAt: now, cleared: e.Cleared})
+		changed = append(changed, e)
 	}
-	t.bound()
-	return news
+	t.evictExcess()
+	return changed
 }
 
-// Since returns the evidence that changed after a change of this table, and its newest
-// change.
+// Since returns the evidence that changed after a change number of this table, and the latest
+// change number.
 func (t *Table) Since(change int64) ([]Evidence, int64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var found []Evidence
 	for d, r := range t.requests {
-		for server, e := range r.ends {
+		for server, e := range r.exits {
 			if e.change > change {
-				found = append(found, Evidence{Digest: d, Info: r.about, Server: server, ExitedAt: e.at, Cleared: e.cleared})
+				found = append(found, Evidence{Digest: d, Info: r.info, Server: server, ExitedAt: e.at, Cleared: e.cleared})
 			}
 		}
 	}
 	return found, t.changes
 }
 
-// Hash is equal for tables with the same evidence.
+// Hash returns a value that is equal for tables with the same evidence.
 func (t *Table) Hash() uint64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.hash
 }
 
-// Order quarantines a request until a time, as the operators' configuration says.
+// QuarantineUntil sets the end of a quarantine from the operators' configuration.
 func (t *Table) QuarantineUntil(d Digest, until time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.request(d).ordered = until
+	t.request(d).configuredUntil = until
 }
 
-// Release ends a request's quarantine, as the operators say. It returns what that clears.
+// EndQuarantine releases a request on an operator's command. It returns the evidence that this
+// clears.
 func (t *Table) EndQuarantine(d Digest) []Evidence {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	r := t.request(d)
-	r.ordered = time.Time{}
+	r.configuredUntil = time.Time{}
 	return t.clear(d, r)
 }
 
-// Quarantined returns the requests that are quarantined because of servers' ends.
+// Quarantined returns the requests that are quarantined by evidence.
 func (t *Table) Quarantined(now time.Time) map[Digest]Decision {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	found := map[Digest]Decision{}
 	for d, r := range t.requests {
-		if len(r.endedServers()) < endsToQuarantine {
+		if len(r.exitedServers()) < exitsToQuarantine {
 			continue
 		}
 		if v := t.decide(d, r, now); v.State == Quarantined {
@@ -342,22 +344,22 @@
 	return found
 }
 
-// Announce tells whether a quarantined request has more ends than when it was asked last:
-// it is news.
+// MarkAnnounced reports whether a quarantined request has more exits than at the last call.
 func (t *Table) MarkAnnounced(d Digest, v Decision) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	r := t.request(d)
-	if len(v.Servers) <= r.announced {
+	if len(v.Servers) <= r.announcedExits {
 		return false
 	}
-	r.announced = len(v.Servers)
+	r.announcedExits = len(v.Servers)
 	return true
 }
 
-// Acquitted tells whether the evidence speaks for a request, though this table has all of
-// the ends for which it was quarantined: they have been cleared, or others have turned out
-// to share them. That its time is over doesn't: operators may have prolonged it.
+// Cleared reports whether the evidence no longer supports a quarantine, although this table
+// has all exits that caused it: they were cleared, or turned out to be shared with other
+// requests. An expired quarantine does not count as cleared, since operators may have extended
+// it.
 func (t *Table) Cleared(d Digest, servers []string, now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -366,13 +368,13 @@
 		return false
 	}
 	for _, server := range servers {
-		if _, found := r.ends[server]; !found {
+		if _, found := r.exits[server]; !found {
 			return false
 		}
 	}
-	left := r.endedServers()
-	if ended := t.count(r, left); ended != endsToQuarantine {
-		return ended < endsToQuarantine
+	remaining := r.exitedServers()
+	if counted := t.countedExits(r, remaining); counted != exitsToQuarantine {
+		return counted < exitsToQuarantine
 	}
-	return now.Sub(r.newestLearned()) >= SettleTime && t.shared(d, left)
+	return now.Sub(r.lastLearned()) >= SettleTime && t.exitsShared(d, remaining)
 }
--- a/internal/quarantine/table_test.go
+++ b/internal/quarantine/table_test.go
@@ -13,16 +13,17 @@
 
 var start = time.Unix(1000, 0)
 
-// about is the requests'.
-var about = quarantine.NewRequestInfo("c", "/x?p=1")
+// info describes the requests.
+var info = quarantine.NewRequestInfo("c", "/x?p=1")
 
 func digest(n int) quarantine.Digest {
 	return quarantine.DigestOf("c", "POST", "h", "/", []byte(fmt.Sprint(n)))
 }
 
-// ends cuts a request off at a server that then turns out to have ended.
-func ends(t *quarantine.Table, d quarantine.Digest, server string, now time.Time) []quarantine.Evidence {
-	t.ConnectionLost(d, about, server, now)
+// exitUnderRequest loses the request's connection to a server that is then found to have
+// exited.
+func exitUnderRequest(t *quarantine.Table, d quarantine.Digest, server string, now time.Time) []quarantine.Evidence {
+	t.ConnectionLost(d, info, server, now)
 	return t.MarkExited(server, now)
 }
 
@@ -34,12 +35,12 @@
 
 	state := func(now time.Time) quarantine.State { return table.Decision(d, now).State }
 
-	It("is quarantined once two servers have ended under it, and not before", func() {
+	It("is quarantined after two server exits, and not before", func() {
 		Expect(state(start)).To(Equal(quarantine.Healthy))
-		ends(table, d, "a", start)
+		exitUnderRequest(table, d, "a", start)
 		Expect(state(start)).To(Equal(quarantine.Suspect))
-		ends(table, d, "b", start.Add(time.Second))
-		Expect(table.Admit(d, start.Add(time.Second)).State).To(Equal(quarantine.Pending), "others may share its ends")
+		exitUnderRequest(table, d, "b", start.Add(time.Second))
+		Expect(table.Admit(d, start.Add(time.Second)).State).To(Equal(quarantine.Pending), "other requests may share its exits")
 		settled := start.Add(time.Second + quarantine.SettleTime)
 		Expect(state(settled)).To(Equal(quarantine.Quarantined))
 		Expect(table.Decision(d, settled).Servers).To(Equal([]string{"a", "b"}))
@@ -48,123 +49,123 @@
 		Expect(table.MarkAnnounced(d, table.Decision(d, settled))).To(BeFalse())
 	})
 
-	It("that shares both ends with another is told from it by what follows", func() {
-		sound, settled := digest(2), start.Add(quarantine.SettleTime)
+	It("that shares both exits with another is quarantined when the other completes", func() {
+		unrelated, settled := digest(2), start.Add(quarantine.SettleTime)
 		for _, server := range []string{"a", "b"} {
-			table.ConnectionLost(sound, about, server, start)
-			ends(table, d, server, start)
+			table.ConnectionLost(unrelated, info, server, start)
+			exitUnderRequest(table, d, server, start)
 		}
 		Expect(state(settled)).To(Equal(quarantine.Suspect))
-		Expect(table.Decision(sound, settled).State).To(Equal(quarantine.Suspect))
-		table.MarkServed(sound)
-		Expect(state(settled)).To(Equal(quarantine.Quarantined), "the other has run to a good end")
-		Expect(table.Decision(sound, settled).State).To(Equal(quarantine.Healthy))
+		Expect(table.Decision(unrelated, settled).State).To(Equal(quarantine.Suspect))
+		table.MarkServed(unrelated)
+		Expect(state(settled)).To(Equal(quarantine.Quarantined), "the other request completed")
+		Expect(table.Decision(unrelated, settled).State).To(Equal(quarantine.Healthy))
 	})
 
-	It("that shares both ends with another is quarantined when a third server ends, and the other isn't", func() {
-		sound, settled := digest(2), start.Add(quarantine.SettleTime)
+	It("that shares both exits with another is quarantined alone after a third exit", func() {
+		unrelated, settled := digest(2), start.Add(quarantine.SettleTime)
 		for _, server := range []string{"a", "b"} {
-			table.ConnectionLost(sound, about, server, start)
-			ends(table, d, server, start)
+			table.ConnectionLost(unrelated, info, server, start)
+			exitUnderRequest(table, d, server, start)
 		}
-		ends(table, d, "c", settled)
+		exitUnderRequest(table, d, "c", settled)
 		Expect(state(settled)).To(Equal(quarantine.Quarantined))
-		Expect(table.Decision(sound, settled).State).To(Equal(quarantine.Suspect))
+		Expect(table.Decision(unrelated, settled).State).To(Equal(quarantine.Suspect))
 	})
 
-	It("that shares one end with it stays free, and so does one that was cut off elsewhere", func() {
-		beside, elsewhere := digest(2), digest(3)
-		table.ConnectionLost(beside, about, "a", start)
-		table.ConnectionLost(elsewhere, about, "c", start)
-		ends(table, d, "a", start)
-		ends(table, d, "b", start.Add(time.Second))
+	It("that shares one exit, or lost its connection to a live server, is not quarantined", func() {
+		concurrent, survivor := digest(2), digest(3)
+		table.ConnectionLost(concurrent, info, "a", start)
+		table.ConnectionLost(survivor, info, "c", start)
+		exitUnderRequest(table, d, "a", start)
+		exitUnderRequest(table, d, "b", start.Add(time.Second))
 		table.MarkAlive("c", start)
-		Expect(table.Decision(beside, start.Add(time.Second)).State).To(Equal(quarantine.Suspect))
-		Expect(table.Decision(elsewhere, start.Add(time.Second)).State).To(Equal(quarantine.Healthy))
+		Expect(table.Decision(concurrent, start.Add(time.Second)).State).To(Equal(quarantine.Suspect))
+		Expect(table.Decision(survivor, start.Add(time.Second)).State).To(Equal(quarantine.Healthy))
 	})
 
-	It("that has run to a good end is cleared, and needs two more ends", func() {
-		ends(table, d, "a", start)
+	It("that completes is cleared, and needs two more exits", func() {
+		exitUnderRequest(table, d, "a", start)
 		Expect(table.MarkServed(d)).To(HaveLen(1))
 		Expect(state(start)).To(Equal(quarantine.Healthy))
 		Expect(table.Cleared(d, []string{"a"}, start)).To(BeTrue())
-		ends(table, d, "b", start.Add(time.Second))
+		exitUnderRequest(table, d, "b", start.Add(time.Second))
 		Expect(state(start.Add(time.Second))).To(Equal(quarantine.Suspect))
 	})
 
-	It("waits while it isn't known whether a second server has ended", func() {
-		table.ConnectionLost(d, about, "a", start)
-		Expect(state(start)).To(Equal(quarantine.Suspect), "one may be tried again")
-		table.ConnectionLost(d, about, "b", start)
+	It("is pending while it is unknown whether a second server exited", func() {
+		table.ConnectionLost(d, info, "a", start)
+		Expect(state(start)).To(Equal(quarantine.Suspect), "one loss permits a retry")
+		table.ConnectionLost(d, info, "b", start)
 		Expect(table.Admit(d, start).State).To(Equal(quarantine.Pending))
 		table.MarkAlive("a", start)
 		Expect(state(start)).To(Equal(quarantine.Suspect))
-		Expect(state(start.Add(5*time.Second))).To(Equal(quarantine.Healthy), "not for ever")
+		Expect(state(start.Add(5*time.Second))).To(Equal(quarantine.Healthy), "the pending state expires")
 	})
 
-	It("that is suspect runs once at a time", func() {
-		ends(table, d, "a", start)
+	It("that is suspect runs one attempt at a time", func() {
+		exitUnderRequest(table, d, "a", start)
 		Expect(table.Admit(d, start).State).To(Equal(quarantine.Suspect))
 		Expect(table.Admit(d, start).State).To(Equal(quarantine.Pending))
 		table.Release(d)
 		Expect(table.Admit(d, start).State).To(Equal(quarantine.Suspect))
 	})
 
-	It("counts the ends of a server that starts again under its ID, each once", func() {
-		ends(table, d, "a", start)
-		ends(table, d, "a", start.Add(time.Millisecond))
+	It("counts each exit of a server that restarts under its ID once", func() {
+		exitUnderRequest(table, d, "a", start)
+		exitUnderRequest(table, d, "a", start.Add(time.Millisecond))
 		Expect(state(start)).To(Equal(quarantine.Suspect))
-		ends(table, d, "a", start.Add(4*time.Second))
+		exitUnderRequest(table, d, "a", start.Add(4*time.Second))
 		Expect(state(start.Add(5 * time.Second))).To(Equal(quarantine.Quarantined))
 	})
 
-	It("isn't held to account for an end long after it was cut off", func() {
-		table.ConnectionLost(d, about, "a", start)
+	It("is not blamed for an exit long after it lost its connection", func() {
+		table.ConnectionLost(d, info, "a", start)
 		Expect(table.MarkExited("a", start.Add(time.Minute))).To(BeEmpty())
 	})
 
-	It("gets one more attempt after a first quarantine, and a day after a third end", func() {
-		ends(table, d, "a", start.Add(-2*time.Second))
-		ends(table, d, "b", start)
+	It("gets one attempt after a first quarantine, and a day's quarantine after a third exit", func() {
+		exitUnderRequest(table, d, "a", start.Add(-2*time.Second))
+		exitUnderRequest(table, d, "b", start)
 		later := table.Decision(d, start).Until
 		Expect(later.Sub(start)).To(Equal(30 * time.Minute))
 		Expect(table.Admit(d, later).State).To(Equal(quarantine.Suspect))
-		ends(table, d, "c", later)
+		exitUnderRequest(table, d, "c", later)
 		Expect(table.Decision(d, later).Until.Sub(later)).To(Equal(24 * time.Hour))
 	})
 
-	It("isn't held to account for a failure that took other servers, too", func() {
+	It("is not blamed for a failure that took other servers as well", func() {
 		for i, server := range []string{"a", "b", "c"} {
-			ends(table, d, server, start.Add(time.Duration(i)*10*time.Millisecond))
+			exitUnderRequest(table, d, server, start.Add(time.Duration(i)*10*time.Millisecond))
 		}
 		settled := start.Add(time.Second)
 		Expect(state(settled)).To(Equal(quarantine.Quarantined))
 		Expect(table.Cleared(d, []string{"a", "b", "c"}, settled)).To(BeFalse())
-		ends(table, digest(2), "z", start.Add(100*time.Millisecond))
+		exitUnderRequest(table, digest(2), "z", start.Add(100*time.Millisecond))
 		Expect(state(settled)).To(Equal(quarantine.Suspect))
 		table.QuarantineUntil(d, settled.Add(time.Minute))
-		Expect(state(settled)).To(Equal(quarantine.Quarantined), "while the configuration says so")
+		Expect(state(settled)).To(Equal(quarantine.Quarantined), "quarantined by configuration")
 		Expect(table.Cleared(d, []string{"a", "b", "c"}, settled)).To(BeTrue())
-		Expect(table.Cleared(d, []string{"a", "b", "x"}, settled)).To(BeFalse(), "others know more")
+		Expect(table.Cleared(d, []string{"a", "b", "x"}, settled)).To(BeFalse(), "other daemons know more exits")
 		table.QuarantineUntil(d, time.Time{})
 		Expect(table.Decision(digest(2), settled).State).To(Equal(quarantine.Suspect))
-		ends(table, d, "e", start.Add(5*time.Second))
-		Expect(state(start.Add(6*time.Second))).To(Equal(quarantine.Quarantined), "but for one that follows")
+		exitUnderRequest(table, d, "e", start.Add(5*time.Second))
+		Expect(state(start.Add(6*time.Second))).To(Equal(quarantine.Quarantined), "a later exit counts")
 	})
 
-	It("under which two servers ended together is kept from others for a short while", func() {
-		ends(table, d, "a", start)
-		ends(table, d, "b", start.Add(time.Second))
+	It("is quarantined only briefly when two servers exited together", func() {
+		exitUnderRequest(table, d, "a", start)
+		exitUnderRequest(table, d, "b", start.Add(time.Second))
 		later := table.Decision(d, start.Add(time.Second)).Until
 		Expect(later.Sub(start)).To(Equal(31 * time.Second))
 		Expect(table.Admit(d, later).State).To(Equal(quarantine.Suspect))
-		ends(table, d, "c", later)
+		exitUnderRequest(table, d, "c", later)
 		Expect(table.Decision(d, later).Until.Sub(later)).To(Equal(24 * time.Hour))
 	})
 
-	It("isn't acquitted because its time is over: operators may have prolonged it", func() {
-		ends(table, d, "a", start)
-		ends(table, d, "b", start.Add(2*time.Second))
+	It("is not cleared by the end of its quarantine, which operators may have extended", func() {
+		exitUnderRequest(table, d, "a", start)
+		exitUnderRequest(table, d, "b", start.Add(2*time.Second))
 		both := []string{"a", "b"}
 		Expect(table.Cleared(d, both, start.Add(time.Minute))).To(BeFalse())
 		Expect(table.Cleared(d, both, start.Add(time.Hour))).To(BeFalse())
@@ -172,25 +173,25 @@
 		Expect(table.Cleared(d, both, start.Add(time.Hour))).To(BeTrue())
 	})
 
-	It("is quarantined and released as the operators' configuration says", func() {
+	It("is quarantined and released by the operators' configuration", func() {
 		table.QuarantineUntil(d, start.Add(time.Minute))
 		Expect(state(start)).To(Equal(quarantine.Quarantined))
 		Expect(state(start.Add(time.Minute))).To(Equal(quarantine.Healthy))
-		ends(table, d, "a", start)
-		ends(table, d, "b", start)
+		exitUnderRequest(table, d, "a", start)
+		exitUnderRequest(table, d, "b", start)
 		Expect(table.Quarantined(start)).To(HaveKey(d))
 		Expect(table.EndQuarantine(d)).To(HaveLen(2))
 		Expect(state(start)).To(Equal(quarantine.Healthy))
 		Expect(table.Quarantined(start)).To(BeEmpty())
 	})
 
-	It("is forgotten in the end, and the oldest first beyond a bound", func() {
-		ends(table, d, "a", start)
+	It("expires, and the oldest are evicted first beyond the bound", func() {
+		exitUnderRequest(table, d, "a", start)
 		table.Admit(digest(2), start.Add(2*time.Hour))
 		Expect(table.Hash()).To(BeZero())
 		const many = 5000
 		for i := range many {
-			ends(table, digest(10+i), "s", start.Add(2*time.Hour+time.Duration(i)*time.Millisecond))
+			exitUnderRequest(table, digest(10+i), "s", start.Add(2*time.Hour+time.Duration(i)*time.Millisecond))
 		}
 		evidence, _ := table.Since(0)
 		Expect(len(evidence)).To(And(BeNumerically("<=", 4096), BeNumerically(">=", 4096-4096/16)))
@@ -199,7 +200,7 @@
 	})
 })
 
-var _ = It("a customer whose requests end many servers pushes nobody's out", func() {
+var _ = It("evidence about other customers survives a customer whose requests crash many servers", func() {
 	table := quarantine.NewTable()
 	other := digest(1)
 	for i, server := range []string{"a", "b"} {
@@ -208,7 +209,7 @@
 		table.MarkExited(server, at)
 	}
 	for i := range 9000 {
-		ends(table, digest(10+i), "s", start.Add(time.Duration(i)*time.Millisecond))
+		exitUnderRequest(table, digest(10+i), "s", start.Add(time.Duration(i)*time.Millisecond))
 	}
 	v := table.Decision(other, start.Add(time.Minute))
 	Expect(v.State).To(Equal(quarantine.Quarantined))
@@ -218,9 +219,9 @@
 	Expect(quarantine.NewRequestInfo("c", "/"+strings.Repeat("x", 5000)).Path).To(HaveLen(200))
 })
 
-// Tables that hear all of each other's evidence agree, in whatever order and however
-// often it comes, and no request is quarantined under which fewer than two servers ended.
-var _ = It("tables agree in the end", func() {
+// Tables that exchange all evidence must converge regardless of order and repetition, and no
+// request may be quarantined after fewer than two server exits.
+var _ = It("tables that exchange evidence converge", func() {
 	rapid.Check(GinkgoT(), func(t *rapid.T) {
 		const tables, requests, servers = 3, 3, 4
 		all := make([]*quarantine.Table, tables)
@@ -236,7 +237,7 @@
 			switch rapid.IntRange(0, 3).Draw(t, "what") {
 			case 0, 1:
 				server := fmt.Sprint("s", rapid.IntRange(0, servers-1).Draw(t, "server"))
-				for _, e := range ends(table, d, server, now) {
+				for _, e := range exitUnderRequest(table, d, server, now) {
 					if seen[e.Digest] == nil {
 						seen[e.Digest] = map[string]bool{}
 					}
@@ -252,7 +253,7 @@
 			}
 			now = now.Add(time.Second)
 		}
-		for range 2 { // what they tell each other goes round
+		for range 2 { // exchange all evidence, twice for transitive updates
 			for _, table := range all {
 				evidence, _ := table.Since(0)
 				for _, other := range all {
@@ -262,15 +263,15 @@
 		}
 		for _, table := range all[1:] {
 			if table.Hash() != all[0].Hash() {
-				t.Fatalf("tables differ")
+				t.Fatalf("table hashes differ")
 			}
 			for n := range requests {
 				a, b := all[0].Decision(digest(n), now), table.Decision(digest(n), now)
 				if fmt.Sprint(a.Servers) != fmt.Sprint(b.Servers) {
-					t.Fatalf("request %d: %v and %v", n, a.Servers, b.Servers)
+					t.Fatalf("request %d: exited servers %v and %v", n, a.Servers, b.Servers)
 				}
 				if a.State == quarantine.Quarantined && len(seen[digest(n)]) < 2 {
-					t.Fatalf("request %d is quarantined after %d ends", n, len(seen[digest(n)]))
+					t.Fatalf("request %d is quarantined after %d exits", n, len(seen[digest(n)]))
 				}
 			}
 		}
--- a/internal/quota/quota.go
+++ b/internal/quota/quota.go
@@ -1,6 +1,6 @@
-// Package quota divides what is bound for all daemons together into equal parts, one for each
-// daemon that is known. It needs nobody's word on what the others use, and leaves unused what
-// they don't need: right for bounds that are far above what is used of them.
+// Package quota divides a global bound equally among the known daemons, without coordination.
+// Capacity that a daemon leaves unused is not available to others, so it suits bounds far
+// above actual use.
 package quota
 
 import (
@@ -10,54 +10,54 @@
 )
 
 const (
-	// spare is the part by which there may be more daemons than are known.
-	spare = 0.25
-	// used is the part of a whole bound that is divided: the rest is for connections that
-	// the other end hasn't seen closed yet.
-	used = 0.9
+	// headroom is the fraction of additional daemons that may exist beyond the known ones.
+	headroom = 0.25
+	// usableFraction is the fraction of a bound that is divided. The rest covers connections
+	// that the remote end has not yet seen closed.
+	usableFraction = 0.9
 )
 
-// Equal is a daemon's part of a bound among so many that are known.
-func PerDaemon(bound float64, known int) float64 {
-	return bound / (float64(max(known, 1)) * (1 + spare))
+// PerDaemon returns one daemon's quota of a bound, given the number of known daemons.
+func PerDaemon(bound float64, peers int) float64 {
+	return bound / (float64(max(peers, 1)) * (1 + headroom))
 }
 
-// Daemons are those among which a bound is divided. The zero value is a daemon alone.
+// Daemons is the set of daemons that share a bound. The zero value is a single daemon.
 type Daemons struct {
-	self string
-	all  []string // sorted, self among them
+	self      string
+	addresses []string // sorted, including self
 }
 
-// NewDaemons returns a daemon and the others that it knows, by their addresses.
-func NewDaemons(self string, others []string) Daemons {
-	all := append([]string{self}, others...)
+// NewDaemons returns the set of a daemon and its known peers, by address.
+func NewDaemons(self string, peers []string) Daemons {
+	all := append([]string{self}, peers...)
 	slices.Sort(all)
-	return Daemons{self: self, all: slices.Compact(all)}
+	return Daemons{self: self, addresses: slices.Compact(all)}
 }
 
-// Same tells whether others are the same daemons.
+// Equal reports whether both sets are the same.
 func (d Daemons) Equal(other Daemons) bool {
-	return d.self == other.self && slices.Equal(d.all, other.all)
+	return d.self == other.self && slices.Equal(d.addresses, other.addresses)
 }
 
-// Whole is this daemon's part, in whole numbers, of a bound on something that is named. Where
-// there isn't one for each daemon, those get one that come first by a hash of both names: all
-// that know the same daemons agree which these are.
+// Quota returns this daemon's integer quota of a bound on the named resource. When the bound
+// is smaller than the number of daemons, the daemons that rank first by a hash of both names
+// get 1 each; all daemons that know the same set agree on them.
 func (d Daemons) Quota(bound int, name string) int {
-	divided := used * float64(bound)
-	if part := int(PerDaemon(divided, len(d.all))); part > 0 {
-		return part
+	usable := usableFraction * float64(bound)
+	if quota := int(PerDaemon(usable, len(d.addresses))); quota > 0 {
+		return quota
 	}
-	own, before := rank(d.self, name), 0
-	for _, other := range d.all {
-		if other != d.self && rank(other, name) < own {
-			before++
+	ownHash, lower := hashOf(d.self, name), 0
+	for _, other := range d.addresses {
+		if other != d.self && hashOf(other, name) < ownHash {
+			lower++
 		}
 	}
-	if float64(before+1)*(1+spare) <= divided {
+	if float64(lower+1)*(1+headroom) <= usable {
 		return 1
 	}
 	return 0
 }
 
-func rank(daemon, name string) uint64 { return xxhash.Sum64String(daemon + " " + name) }
+func hashOf(daemon, name string) uint64 { return xxhash.Sum64String(daemon + " " + name) }
