--- a/internal/experts/agent.go
+++ b/internal/experts/agent.go
@@ -10,49 +10,51 @@
 	"github.com/sirupsen/logrus"
 )
 
-// Engine is the model engine on the agent's VM.
+// Engine is a client of the model engine on the agent's VM.
 type Engine interface {
 	Report(ctx context.Context, address string) (RankReport, error)
 	Counts(ctx context.Context, address string) (Counts, error)
 	Experts(ctx context.Context, address string) ([][]int, error)
-	Execute(ctx context.Context, address string, order Command) (Result, error)
+	Execute(ctx context.Context, address string, command Command) (Result, error)
 }
 
-// Agent stands beside one engine: it tells the holder of the group's lease what
-// the engine says, and gives the engine the holder's orders. Invariant: it gives
-// no order with a lower fence than it has heard of. Safe for concurrent use.
+// Agent runs beside one engine. It reports the engine's state to the holder of
+// the group's lease and executes the holder's commands. It rejects commands with
+// a lower fencing token than the highest that it has seen. Safe for concurrent use.
 type Agent struct {
 	engine  Engine
 	address string
 	now     func() time.Time
 	log     *logrus.Entry
 
-	mu sync.Mutex // a leaf
-	// fence is the highest heard of, heardAt when its holder called last.
+	mu sync.Mutex // leaf lock
+	// fence is the highest fencing token seen; holderCalledAt is when it was last seen.
 	fence          int64
 	holderCalledAt time.Time
 	lastReport     RankReport
-	// counted is what the engine had counted at the last look of the holder with the
-	// fence countedFor.
+	// prevCounts are the engine's counts at the previous query of the holder with the
+	// fencing token prevCountsFence.
 	prevCounts      Counts
 	prevCountsFence int64
-	// openedAt is when the group was seen to open last.
+	// openedAt is when the group last became open.
 	openedAt time.Time
-	// notice is what the engine has said of itself in answers to orders.
+	// notice holds the pauses that the engine asked for in its responses.
 	notice eligibility.Report
-	// inherited is the fence of a lease that an earlier process of this daemon had.
+	// goneFence is the fencing token of a lease that an earlier process of this
+	// daemon held.
 	goneFence int64
-	// orders keeps orders one after the other, so that none with an old fence is on
-	// its way once a higher one has been heard of.
+	// commandMu serializes commands, so that none with an old fencing token is in
+	// flight once a higher one has been seen.
 	commandMu sync.Mutex
 }
 
-// NewAgent returns the agent of the engine at an address.
+// NewAgent returns the agent of the engine at address.
 func NewAgent(engine Engine, address string, now func() time.Time, log *logrus.Entry) *Agent {
 	return &Agent{engine: engine, address: address, now: now, log: log, holderCalledAt: now()}
 }
 
-// hear notes a call of a holder. It tells whether its fence is the highest.
+// recordFence records a fencing token. It returns the highest token seen and
+// whether fence is that.
 func (a *Agent) recordFence(fence int64) (highest int64, current bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -60,17 +62,17 @@
 		return a.fence, false
 	}
 	if fence > a.fence {
-		a.log.WithFields(logrus.Fields{"fence": fence, "before": a.fence}).Info("new holder heard of")
+		a.log.WithFields(logrus.Fields{"fence": fence, "before": a.fence}).Info("new lease holder observed")
 	}
 	a.fence, a.holderCalledAt = fence, a.now()
 	return fence, true
 }
 
-// Learn notes a fence that the lease's history shows.
+// ObserveFence records a fencing token found in the lease history.
 func (a *Agent) ObserveFence(fence int64) { a.recordFence(fence) }
 
-// Inherit notes a lease that an earlier process of this daemon had. Nobody has it now,
-// so that there is nobody to wait for.
+// MarkHolderGone records that the lease with a fencing token belonged to an earlier
+// process of this daemon, so that the next claim needn't wait for its holder.
 func (a *Agent) MarkHolderGone(fence int64) {
 	a.recordFence(fence)
 	a.mu.Lock()
@@ -78,12 +80,14 @@
 	a.goneFence = fence
 }
 
-// neverCalls is for how long a holder has been silent that doesn't run any more.
+// goneDuration is reported as the time since the last call of a holder that no
+// longer runs.
 const goneDuration = time.Hour
 
-// Silent tells the highest fence heard of, and for how long an open group has
-// gone without a call of its holder. A group that isn't open needs none, and its
-// holder may be on the other side of what broke it.
+// SinceHolderCall returns the highest fencing token seen and how long an open
+// group has gone without a call of its holder. The duration is 0 while the group
+// isn't open: it needs no holder then, and what stopped it may also have cut off
+// the holder.
 func (a *Agent) SinceHolderCall() (fence int64, elapsed time.Duration) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -100,16 +104,15 @@
 	return a.fence, a.now().Sub(since)
 }
 
-// Question is what a holder wants to know besides a rank's state.
+// Query selects what an observation contains besides a rank's state.
 type Query struct {
-	// From and To bound the counts that are asked for, in the order of Counts.Chosen:
-	// what was chosen since the holder's last look.
+	// From and To bound the range of counts, as indexes of Counts.Chosen.
 	From, To int
-	// Lists asks for the rank's experts.
+	// Experts requests the experts of the map in use.
 	Experts bool
 }
 
-// Observe answers a holder.
+// Observe returns the state of the rank to the holder with a fencing token.
 func (a *Agent) Observe(ctx context.Context, fence int64, query Query) (Observation, error) {
 	highest, current := a.recordFence(fence)
 	if !current {
@@ -134,7 +137,7 @@
 	return observation, err
 }
 
-// between returns the counts from one place to before another.
+// slice returns the counts from index from up to, not including, to.
 func (c Counts) slice(from, to int) Counts {
 	to = min(to, len(c.Chosen))
 	if from < 0 || from >= to {
@@ -145,8 +148,8 @@
 	return c
 }
 
-// sinceLast returns what was chosen since a holder's last look; nothing the first
-// time, and when the rank counts from 0 again.
+// countDelta returns the selections since the holder's previous query. It returns
+// none at the first query and after the engine's counters were reset.
 func (a *Agent) countDelta(fence int64, counts Counts) Counts {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -166,7 +169,7 @@
 	return delta
 }
 
-// Report reads the engine's state.
+// RefreshReport reads the engine's state.
 func (a *Agent) RefreshReport(ctx context.Context) (RankReport, error) {
 	report, err := a.engine.Report(ctx, a.address)
 	if err != nil {
@@ -178,28 +181,28 @@
 		a.openedAt = a.now()
 	}
 	if report.StartID != a.lastReport.StartID {
-		a.notice = eligibility.Report{} // this start has said nothing
+		a.notice = eligibility.Report{} // not valid for a new start
 	}
 	a.lastReport = report
 	return report, nil
 }
 
-// Last returns the engine's last report.
+// LastReport returns the last report that was read from the engine.
 func (a *Agent) LastReport() RankReport {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.lastReport
 }
 
-// Command gives the engine an order of a holder.
+// Execute sends a holder's command to the engine.
 func (a *Agent) Execute(ctx context.Context, command Command) (Result, error) {
 	a.commandMu.Lock()
 	defer a.commandMu.Unlock()
 	if highest, current := a.recordFence(command.Fence); !current {
-		return Fenced, errors.Errorf("the order's fence is %d, the highest known %d", command.Fence, highest)
+		return Fenced, errors.Errorf("stale fence %d, highest known is %d", command.Fence, highest)
 	}
 	if err := a.checkPermitted(command.Operation); err != nil {
-		a.log.WithError(err).WithField("operation", command.Operation.String()).Info("order not given")
+		a.log.WithError(err).WithField("operation", command.Operation.String()).Info("command not sent to engine")
 		return Refused, err
 	}
 	result, err := Retry(ctx, localAttemptTimeout, func(ctx context.Context) (Result, error) {
@@ -208,7 +211,7 @@
 	a.log.WithFields(logrus.Fields{
 		"operation": command.Operation.String(), "version": command.Version, "pass": command.Pass, "epoch": command.Epoch,
 		"fence": command.Fence, "verdict": result.String(), "error": errorText(err),
-	}).Info("order given")
+	}).Info("command sent to engine")
 	var rest *RestError
 	if errors.As(err, &rest) {
 		a.mu.Lock()
@@ -218,21 +221,21 @@
 	return result, err
 }
 
-// RestError says that an engine refused an order and wants no more for a time.
+// RestError is returned when an engine refuses a command and asks for a pause.
 type RestError struct {
 	Rest time.Duration
 	Err  error
 }
 
-// Error implements error.
 func (e *RestError) Error() string { return e.Err.Error() }
 
-// Unwrap returns what the engine answered.
+// Unwrap returns the engine's error.
 func (e *RestError) Unwrap() error { return e.Err }
 
-// permit returns why an engine may get no order now, or nil. Orders that begin something
-// wait for its rest to end. Those that undo or go on with what all ranks have begun don't:
-// without them ranks would hold each other up, or begin a pass with different maps.
+// checkPermitted returns an error if the engine must not get a command now. Commands
+// that begin something wait until a pause that the engine asked for has ended.
+// Disarm and Release don't wait: without them ranks would block each other or begin
+// a pass with different maps.
 func (a *Agent) checkPermitted(operation Operation) error {
 	if operation != Prepare && operation != Arm && operation != Hold {
 		return nil
@@ -245,18 +248,18 @@
 	return nil
 }
 
-// localTry bounds one try of an order to the engine on the same VM, which
-// answers in well under a millisecond.
+// localAttemptTimeout bounds one attempt to send a command to the engine on the
+// same VM, which normally responds within a millisecond.
 const localAttemptTimeout = 12 * time.Millisecond
 
-// Repeat gives an order until it is answered or the context ends. Orders are
-// idempotent: one that was carried out already is accepted again.
+// Retry sends a command until there is a response or the context ends. Commands
+// are idempotent: the engine accepts a repeated one again.
 func Retry(ctx context.Context, attemptTimeout time.Duration, send func(ctx context.Context) (Result, error)) (Result, error) {
 	for {
 		attempt, cancel := context.WithTimeout(ctx, attemptTimeout)
 		result, err := send(attempt)
 		if result == NoResponse {
-			<-attempt.Done() // an engine that can't be reached fails at once
+			<-attempt.Done() // avoids a busy loop when the connection is refused
 		}
 		cancel()
 		if result != NoResponse || ctx.Err() != nil {
@@ -265,7 +268,6 @@
 	}
 }
 
-// errorText is empty without an error.
 func errorText(err error) string {
 	if err == nil {
 		return ""
--- a/internal/experts/agent_test.go
+++ b/internal/experts/agent_test.go
@@ -21,14 +21,14 @@
 	RunSpecs(t, "experts")
 }
 
-// fakeEngine takes orders and reports what it's told to.
+// fakeEngine records commands and returns a fixed report.
 type fakeEngine struct {
 	report RankReport
 	counts Counts
 	orders []Command
-	// rest is what each order is refused with, if it's set.
+	// rest, if set, is the pause that the engine asks for when it refuses a command.
 	rest time.Duration
-	// unanswered orders come before the first that is answered.
+	// timeouts is the number of commands without response before the first response.
 	timeouts int
 }
 
@@ -44,28 +44,28 @@
 		return Refused, &RestError{Rest: e.rest, Err: errors.New("status 503")}
 	}
 	if len(e.orders) <= e.timeouts {
-		return NoResponse, errors.New("no answer")
+		return NoResponse, errors.New("no response")
 	}
 	return Accepted, nil
 }
 
-// fakeLeases is a history in memory.
-type memoryLeases struct {
+// memoryStore keeps the lease history in memory.
+type memoryStore struct {
 	records []StoredRecord
 	err     error
 }
 
-func (l *memoryLeases) add(group string, rank int) {
+func (l *memoryStore) add(group string, rank int) {
 	data, err := json.Marshal(LeaseRecord{Group: group, Rank: rank})
 	Expect(err).NotTo(HaveOccurred())
 	l.records = append(l.records, StoredRecord{Position: storelog.Position(len(l.records)), Data: data})
 }
 
-func (l *memoryLeases) ReadLeases(_ context.Context, from storelog.Position) (storelog.Position, []StoredRecord, error) {
+func (l *memoryStore) ReadLeases(_ context.Context, from storelog.Position) (storelog.Position, []StoredRecord, error) {
 	return storelog.Position(len(l.records)), l.records[min(int(from), len(l.records)):], l.err
 }
 
-func (l *memoryLeases) AppendLease(_ context.Context, end storelog.Position, data []byte) (bool, error) {
+func (l *memoryStore) AppendLease(_ context.Context, end storelog.Position, data []byte) (bool, error) {
 	if end != storelog.Position(len(l.records)) {
 		return false, nil
 	}
@@ -84,7 +84,7 @@
 	})
 	ctx := context.Background()
 
-	It("waits for nobody when an earlier process of its daemon was the holder, until another is", func() {
+	It("reports the holder gone if it was an earlier process of the daemon, until a new holder is seen", func() {
 		_, err := agent.RefreshReport(ctx)
 		Expect(err).NotTo(HaveOccurred())
 		agent.MarkHolderGone(4)
@@ -102,7 +102,7 @@
 		Expect(elapsed).To(BeZero(), "a group that can't run needs no holder")
 	})
 
-	It("lets its engine rest from orders that begin something, and never holds one back that others wait for", func() {
+	It("withholds Prepare, Arm and Hold while the engine rests, but never Disarm or Release", func() {
 		engine.rest = 3 * time.Second
 		execute := func(operation Operation) Result {
 			result, _ := agent.Execute(ctx, Command{Operation: operation, Fence: 1})
@@ -122,10 +122,10 @@
 		engine.rest, engine.report.StartID = 0, 2
 		_, err := agent.RefreshReport(ctx)
 		Expect(err).NotTo(HaveOccurred())
-		Expect(execute(Prepare)).To(Equal(Accepted), "its next start has said nothing")
+		Expect(execute(Prepare)).To(Equal(Accepted), "the rest ends with a restart")
 	})
 
-	It("counts nothing from one start of its engine to the next", func() {
+	It("reports no counts across a restart of the engine", func() {
 		chosen := func(born int64, counts ...float64) []float64 {
 			engine.counts = Counts{StartID: born, Chosen: counts}
 			seen, err := agent.Observe(ctx, 7, Query{To: len(counts)})
@@ -134,11 +134,11 @@
 		}
 		Expect(chosen(1, 5, 5)).To(BeNil())
 		Expect(chosen(1, 6, 7)).To(Equal([]float64{1, 2}))
-		Expect(chosen(2, 9, 9)).To(BeNil(), "all counts of the next start have overtaken the former's")
+		Expect(chosen(2, 9, 9)).To(BeNil(), "counts after a restart that exceed the earlier ones")
 		Expect(chosen(2, 9, 10)).To(Equal([]float64{0, 1}))
 	})
 
-	It("gives no order of a holder that another has replaced", func() {
+	It("rejects commands of a superseded holder", func() {
 		_, err := agent.Observe(ctx, 7, Query{})
 		Expect(err).NotTo(HaveOccurred())
 		result, _ := agent.Execute(ctx, Command{Operation: Arm, Fence: 6})
@@ -146,14 +146,14 @@
 		Expect(engine.orders).To(BeEmpty())
 	})
 
-	It("tells a replaced holder the higher fence and nothing else", func() {
+	It("returns only the higher fence to a superseded holder", func() {
 		agent.ObserveFence(7)
 		seen, err := agent.Observe(ctx, 6, Query{Experts: true, To: 1})
 		Expect(err).NotTo(HaveOccurred())
 		Expect(seen).To(Equal(Observation{Fence: 7}))
 	})
 
-	It("tells the part of the counts that is asked for, since the holder's last look", func() {
+	It("returns the queried range of the counts since the holder's previous query", func() {
 		observe := func(ask Query, chosen ...float64) Counts {
 			engine.counts = Counts{Epoch: 1, Chosen: chosen}
 			seen, err := agent.Observe(ctx, 1, ask)
@@ -167,22 +167,22 @@
 		Expect(observe(Query{From: 7, To: 9}, 9, 9, 9, 10).Chosen).To(BeEmpty())
 	})
 
-	It("tells what was chosen since the same holder asked last", func() {
+	It("returns counts since the previous query of the same holder only", func() {
 		chosen := func(fence, epoch int64, total float64) []float64 {
 			engine.counts = Counts{Epoch: epoch, Chosen: []float64{total}}
 			seen, err := agent.Observe(ctx, fence, Query{To: 1})
 			Expect(err).NotTo(HaveOccurred())
 			return seen.Counts.Chosen
 		}
-		Expect(chosen(1, 1, 500)).To(BeNil(), "nothing to compare with")
+		Expect(chosen(1, 1, 500)).To(BeNil(), "first query")
 		Expect(chosen(1, 1, 520)).To(Equal([]float64{20}))
-		Expect(chosen(1, 1, 3)).To(BeNil(), "the rank counts from 0 again")
-		Expect(chosen(1, 2, 9)).To(BeNil(), "the group formed anew")
+		Expect(chosen(1, 1, 3)).To(BeNil(), "the rank's counters were reset")
+		Expect(chosen(1, 2, 9)).To(BeNil(), "the group was formed again")
 		Expect(chosen(2, 2, 11)).To(BeNil(), "another holder")
 		Expect(chosen(2, 2, 12)).To(Equal([]float64{1}))
 	})
 
-	It("repeats an order until it's answered", func() {
+	It("repeats a command until there is a response", func() {
 		engine.timeouts = 2
 		result, err := agent.Execute(ctx, Command{Operation: Arm, Fence: 1})
 		Expect(err).NotTo(HaveOccurred())
@@ -190,7 +190,7 @@
 		Expect(engine.orders).To(HaveLen(3))
 	})
 
-	It("misses the holder of an open group only, from its opening on", func() {
+	It("measures the time without a holder from the opening of the group", func() {
 		elapsed := func() time.Duration {
 			_, err := agent.RefreshReport(ctx)
 			Expect(err).NotTo(HaveOccurred())
@@ -207,19 +207,19 @@
 	})
 })
 
-var _ = Describe("the lease", func() {
+var _ = Describe("lease claims", func() {
 	ctx := context.Background()
 	record := LeaseRecord{Group: "g", Holder: "me", Rank: 3}
 
-	It("goes to the first that claims it", func() {
-		leases := &memoryLeases{}
+	It("succeed for the first claimer", func() {
+		leases := &memoryStore{}
 		claimed, err := ClaimLease(ctx, leases, record, 0)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(claimed).To(Equal(ClaimResult{Fence: 1, Newest: 1, FormerRank: -1}))
 	})
 
-	It("goes on beside records of other writers that can't be read", func() {
-		leases := &memoryLeases{}
+	It("ignore unreadable records of other writers", func() {
+		leases := &memoryStore{}
 		leases.add("g", 5)
 		leases.records = append(leases.records, StoredRecord{Position: 1, Data: []byte("\xff{")})
 		claimed, err := ClaimLease(ctx, leases, record, 1)
@@ -230,16 +230,16 @@
 		Expect(held).To(HaveLen(1))
 	})
 
-	It("isn't claimed from somebody who has just claimed it", func() {
-		leases := &memoryLeases{}
+	It("fail when another daemon has just claimed the lease", func() {
+		leases := &memoryStore{}
 		leases.add("g", 5)
 		claimed, err := ClaimLease(ctx, leases, record, 0)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(claimed).To(Equal(ClaimResult{Newest: 1}))
 	})
 
-	It("is claimed after an agent that forgot everything has learned the history", func() {
-		leases := &memoryLeases{}
+	It("succeed after a restarted agent has read the history", func() {
+		leases := &memoryStore{}
 		leases.add("g", 5)
 		leases.add("other", 1)
 		newest, err := CurrentLease(ctx, leases, "g")
@@ -249,14 +249,14 @@
 		Expect(claimed).To(Equal(ClaimResult{Fence: 3, Newest: 3, FormerRank: 5}))
 	})
 
-	It("isn't taken as claimed when the store doesn't answer", func() {
-		_, err := ClaimLease(ctx, &memoryLeases{err: errors.New("down")}, record, 0)
+	It("fail when the store is unavailable", func() {
+		_, err := ClaimLease(ctx, &memoryStore{err: errors.New("down")}, record, 0)
 		Expect(err).To(HaveOccurred())
 	})
 })
 
-var _ = Describe("demand", func() {
-	It("follows what is chosen now, and forgets nothing while a group is stopped", func() {
+var _ = Describe("the demand estimate", func() {
+	It("follows current selections and doesn't decay while the group is stopped", func() {
 		shape := rebalance.Shape{Ranks: 1, Experts: 2, Layers: 1, Slots: 2}
 		d := NewDemand(shape, 100*time.Millisecond)
 		now := time.Unix(1000, 0)
@@ -275,7 +275,7 @@
 		Expect(d.Weight()).To(Equal(before))
 	})
 
-	It("weighs all sets the same, whichever told last", func() {
+	It("weighs all sets equally, whichever reported last", func() {
 		shape := rebalance.Shape{Ranks: 1, Experts: 2, Layers: 2, Slots: 2}
 		d := NewDemand(shape, 100*time.Millisecond)
 		now := time.Unix(1000, 0)
@@ -286,11 +286,12 @@
 		Expect(d.Popularity()[1]).To(Equal([]float64{25, 0}))
 		d.Add(3, []float64{10, 0})
 		d.EndSample(now)
-		Expect(d.Weight()).To(Equal(50.0), "counts that belong to no set are left out")
+		Expect(d.Weight()).To(Equal(50.0), "counts out of range are ignored")
 	})
 })
 
-// zipf is how many of so many choices each expert gets: the first-liked most.
+// zipf returns how many of the choices each expert gets by a Zipf distribution,
+// beginning with the most popular expert, first.
 func zipf(experts, choices, first int) []float64 {
 	counts, total := make([]float64, experts), 0.0
 	for place := range counts {
@@ -303,7 +304,7 @@
 	return counts
 }
 
-var _ = Describe("demand that jumps", func() {
+var _ = Describe("a demand jump", func() {
 	const experts, choices = 96, 100_000
 	shape := rebalance.Shape{Ranks: 12, Experts: experts, Layers: 1, Slots: 11}
 	now := time.Unix(1000, 0)
@@ -320,14 +321,14 @@
 		return d
 	}
 
-	It("is known with the second look, without a trace of what was liked before", func() {
+	It("replaces the estimate with the second sample", func() {
 		d := steady()
 		both := zipf(experts, choices/2, 0)
 		for expert, n := range zipf(experts, choices/2, 40) {
 			both[expert] += n
 		}
 		Expect(observe(d, both).Jumped).To(BeTrue())
-		Expect(d.Settled()).To(BeFalse(), "the look had passes of both sides")
+		Expect(d.Settled()).To(BeFalse(), "the sample contains passes from before and after the jump")
 		Expect(observe(d, zipf(experts, choices, 40)).Jumped).To(BeFalse())
 		Expect(d.Settled()).To(BeTrue())
 		popularity := d.Popularity()[0]
@@ -335,7 +336,7 @@
 		Expect(popularity[0]).To(BeNumerically("<", popularity[40]/10))
 	})
 
-	It("isn't seen in a prompt that stands out, nor in few choices", func() {
+	It("isn't detected from a single unusual prompt or a small sample", func() {
 		d := steady()
 		prompt := zipf(experts, choices, 0)
 		prompt[77] += 0.15 * choices
@@ -344,7 +345,7 @@
 		Expect(d.Settled()).To(BeTrue())
 	})
 
-	It("is told from looks that always differ, as those of few requests do", func() {
+	It("isn't detected when all samples differ, as with few requests", func() {
 		d := steady()
 		settled := 0
 		for i := range 40 {
@@ -354,14 +355,14 @@
 			}
 		}
 		Expect(settled).To(Equal(20))
-		Expect(d.Weight()).To(BeNumerically(">", 3*choices), "the estimate rests on several looks")
+		Expect(d.Weight()).To(BeNumerically(">", 3*choices), "the estimate includes several samples")
 	})
 })
 
-var _ = DescribeTable("the lead of a switch", func(arming, pass time.Duration, want int64) {
+var _ = DescribeTable("the lead of a switch in passes", func(arming, pass time.Duration, want int64) {
 	Expect(leadPasses(arming, pass)).To(Equal(want))
 },
-	Entry("arming is quick", 12*time.Millisecond, 60*time.Millisecond, int64(0)),
-	Entry("arming takes most of a pass", 45*time.Millisecond, 60*time.Millisecond, int64(2)),
-	Entry("arming takes passes", 170*time.Millisecond, 80*time.Millisecond, int64(4)),
+	Entry("if arming is fast", 12*time.Millisecond, 60*time.Millisecond, int64(0)),
+	Entry("if arming takes most of a pass", 45*time.Millisecond, 60*time.Millisecond, int64(2)),
+	Entry("if arming takes several passes", 170*time.Millisecond, 80*time.Millisecond, int64(4)),
 )
--- a/internal/experts/commands.go
+++ b/internal/experts/commands.go
@@ -1,15 +1,15 @@
 package experts
 
-// RankOrder is an order to one rank.
+// RankCommand is a command to one rank.
 type RankCommand struct {
 	Rank    int
 	Command Command
-	// Direct orders go from the holder straight to the engine, past its agent: a VM
-	// that stops right after it gave the order must not be the engine's own.
+	// Direct commands bypass the agent of the rank. The rank that holds the pass
+	// must not depend on a VM that may stop right after sending the command.
 	Direct bool
 }
 
-// Orders returns the orders that have no confirmation yet.
+// PendingCommands returns the commands that are not confirmed yet.
 func (s *MapSwitch) PendingCommands() []RankCommand {
 	if s.fenced {
 		return nil
@@ -42,10 +42,10 @@
 	return nil
 }
 
-// ownLast keeps the order in which ranks are armed: first all but the holder's
-// own and the one with the hold, then the latter, then the own. A holder whose
-// VM stops in the first of the three leaves a rank unarmed, which shows that
-// its own isn't armed either.
+// nextArmBatch returns the ranks to arm next: first all ranks but the holder's own
+// and the one with the hold, then the one with the hold, then the holder's own. If
+// the holder's VM stops during the first batch, an unarmed rank shows its successor
+// that the holder's own rank isn't armed either.
 func (s *MapSwitch) nextArmBatch(commands []RankCommand) []RankCommand {
 	var first, second []RankCommand
 	for _, c := range commands {
@@ -67,7 +67,7 @@
 	}
 }
 
-// reachable leaves the former holder's rank out.
+// exceptFormerHolder drops the commands to the former holder's rank.
 func (s *MapSwitch) exceptFormerHolder(commands []RankCommand) []RankCommand {
 	var rest []RankCommand
 	for _, c := range commands {
@@ -78,7 +78,7 @@
 	return rest
 }
 
-// disarms takes back what the former holder armed.
+// disarmCommands returns the commands that cancel what the former holder armed.
 func (s *MapSwitch) disarmCommands(command Command) []RankCommand {
 	command.Operation = Disarm
 	var commands []RankCommand
--- a/internal/experts/currentmap.go
+++ b/internal/experts/currentmap.go
@@ -4,7 +4,7 @@
 	"github.com/crowbridge/crowbridge/internal/rebalance"
 )
 
-// adoptLists takes the map that the ranks tell as the present one.
+// adoptCurrentMap sets the placement from the experts that the ranks report.
 func (h *Holder) adoptCurrentMap() {
 	lists, complete := h.expertsBySet()
 	h.state.SetCurrentMap(lists)
@@ -13,14 +13,14 @@
 	}
 	placement, err := rebalance.NewPlacementFromLists(h.shape, lists)
 	if err != nil {
-		h.log.WithError(err).Warn("the ranks' experts make no map")
+		h.log.WithError(err).Warn("reported experts form no valid map")
 		return
 	}
 	h.placement, h.placementEpoch, h.placementVersion = placement, h.state.Epoch(), h.mapInUse()
 }
 
-// listsBySet orders what the ranks told by set. Ranks that told nothing get the
-// experts that no other rank has; whole says that there are none.
+// expertsBySet returns the reported experts by set and rank, and whether all ranks
+// reported theirs. A rank without report is assigned the experts that no other has.
 func (h *Holder) expertsBySet() (lists [][][]int, complete bool) {
 	complete = true
 	lists = make([][][]int, h.shape.Layers)
--- a/internal/experts/demand.go
+++ b/internal/experts/demand.go
@@ -7,50 +7,46 @@
 	"github.com/crowbridge/crowbridge/internal/rebalance"
 )
 
-// Demand estimates how often each expert is chosen at present, from the counts
-// of all ranks. Counts of one look at the ranks come by Observe and are taken in
-// by EndLook. Not safe for concurrent use.
+// Demand estimates the current popularity of each expert from the counts of all
+// ranks. Add collects the counts of one sample; EndSample merges them into the
+// estimate. Not safe for concurrent use.
 //
-// Demand moves in two ways. It drifts, and the prompts of a moment stand out by some
-// per cent of the choices: an average over half a second evens that out. And it
-// jumps: other experts are liked from one pass to the next. An average across a
-// jump fits neither side, and a map that is planned by it has to be planned again. So
-// a look that differs from the estimate by much more than looks usually do
-// replaces it.
+// Demand changes in two ways. It drifts, with noise from single prompts, which a
+// moving average smooths. And it jumps when the mix of requests changes from one
+// pass to the next. An average across a jump fits neither side, so a sample whose
+// distance from the estimate is unusually large replaces the estimate.
 type Demand struct {
 	shape     rebalance.Shape
 	halfLife  time.Duration
 	smoothed  rebalance.Popularity
 	updatedAt time.Time
 	weight    float64
-	// fresh is what the present look has brought, by set.
+	// fresh and freshChoices hold the counts of the current sample.
 	fresh        rebalance.Popularity
 	freshChoices float64
-	// usual is the smoothed distance of looks from the estimate.
+	// baseline is the moving average of the distance of samples from the estimate.
 	baseline float64
-	// unsettled is set after a jump until the next look: that in which the jump showed
-	// had passes of both sides.
+	// unsettled is set from a jump until the next sample: the sample that showed the
+	// jump may contain passes from before it.
 	unsettled bool
-	// jumpedAt is when the last jump was seen.
-	jumpedAt time.Time
+	jumpedAt  time.Time
 }
 
 const (
-	// leastLook is how many choices a look must have brought to be compared: the
-	// distance between two samples of 2,000 choices among 96 experts is 0.12.
+	// minSampleChoices is the number of selections that a sample needs to be
+	// compared. Smaller ones differ too much by chance.
 	minSampleChoices = 2000
-	// leastJump and jumpOverUsual bound the distance from which on demand has jumped.
-	// In a group of 12 ranks with 45 streams a second, looks differed by 0.04 to 0.21, and
-	// by 0.35 to 0.56 after half to four fifths of what is liked had changed.
+	// A sample whose distance exceeds both minJumpDistance and jumpFactor times the
+	// baseline is a jump.
 	minJumpDistance = 0.25
 	jumpFactor      = 2.0
-	// usualAtFirst and usualWeight are where the smoothed distance begins and the
-	// weight of the newest: some ten looks make the estimate.
+	// initialBaseline and baselineWeight are the initial value and the weight of the
+	// newest sample of the baseline.
 	initialBaseline = 0.1
 	baselineWeight  = 0.1
 )
 
-// NewDemand returns an estimate that forgets half of what it knows in a time.
+// NewDemand returns an estimate in which the weight of a sample halves every halfLife.
 func NewDemand(shape rebalance.Shape, halfLife time.Duration) *Demand {
 	return &Demand{
 		shape: shape, halfLife: halfLife, baseline: initialBaseline,
@@ -58,31 +54,31 @@
 	}
 }
 
-// Observe takes in what a rank's requests chose since the last look: counts set
-// after set, from a place on. Ranks may tell a part of the sets at a time.
+// Add adds selections since the previous sample to the current one. chosen is
+// ordered by set, then by expert, beginning at index offset.
 func (d *Demand) Add(offset int, chosen []float64) {
 	if offset < 0 || offset+len(chosen) > d.shape.Layers*d.shape.Experts {
 		return
 	}
 	for i, n := range chosen {
-		at := offset + i
-		d.fresh[at/d.shape.Experts][at%d.shape.Experts] += n
+		index := offset + i
+		d.fresh[index/d.shape.Experts][index%d.shape.Experts] += n
 		d.freshChoices += n
 	}
 }
 
-// Look is what a look at the ranks said of demand.
+// Sample summarizes the selections of all ranks in one observation.
 type Sample struct {
-	// Choices is how many there were; nothing else is known without any.
+	// Choices is the number of selections. Without any, Distance and Jumped are not set.
 	Choices float64
-	// Distance of the look from the estimate before it, 0 to 1: the part of the choices
-	// that went to other experts. Usual is what it was as a rule.
+	// Distance of the sample from the estimate, from 0 to 1: the fraction of the
+	// selections that differ. Baseline is the usual distance.
 	Distance, Baseline float64
-	// Jumped is set when the estimate begins anew with this look.
+	// Jumped reports whether the sample replaces the estimate.
 	Jumped bool
 }
 
-// EndLook takes the counts of a look into the estimate.
+// EndSample merges the current sample into the estimate.
 func (d *Demand) EndSample(now time.Time) Sample {
 	sample := Sample{Choices: d.freshChoices, Baseline: d.baseline}
 	if sample.Choices == 0 {
@@ -96,7 +92,7 @@
 	return sample
 }
 
-// compare looks for a jump between the estimate and the fresh counts.
+// detectJump compares the sample with the estimate, which it resets after a jump.
 func (d *Demand) detectJump(sample *Sample) {
 	if d.unsettled {
 		d.reset()
@@ -113,8 +109,8 @@
 	}
 }
 
-// distance is the mean over the sets of the part of the fresh choices that would have
-// to go to other experts to be spread as the estimate is.
+// distance returns the total variation distance of the sample from the estimate,
+// averaged over the sets.
 func (d *Demand) distance() float64 {
 	total, sets := 0.0, 0
 	for set, fresh := range d.fresh {
@@ -148,8 +144,8 @@
 	}
 }
 
-// longestDecay bounds what one pause forgets: a group that was stopped goes on
-// with what it knew of the demand.
+// maxDecayPeriod bounds the decay per sample, so that the estimate survives a pause
+// of the group.
 const maxDecayPeriod = time.Second
 
 func (d *Demand) decay(now time.Time) {
@@ -167,27 +163,28 @@
 	}
 }
 
-// Weight is how many choices the estimate rests on.
+// Weight returns the number of selections that the estimate is based on.
 func (d *Demand) Weight() float64 { return d.weight }
 
-// JumpedAt is when the last jump was seen; zero when there was none.
+// JumpedAt returns the time of the last jump, or the zero time.
 func (d *Demand) JumpedAt() time.Time { return d.jumpedAt }
 
-// Settled tells whether the estimate is of one side of the last jump only.
+// Settled reports whether the estimate contains samples from only one side of the
+// last jump.
 func (d *Demand) Settled() bool { return !d.unsettled }
 
-// Popularity returns the estimate. All sets have the same total, as they have in
-// truth: each token passes all sets, but the counts of some may be newer.
+// Popularity returns the estimate, with the same total for all sets: each token
+// passes all of them, but their counts are queried at different times.
 func (d *Demand) Popularity() rebalance.Popularity {
 	estimate := rebalance.NewPopularity(d.shape)
-	even := d.weight / float64(d.shape.Layers)
+	perSet := d.weight / float64(d.shape.Layers)
 	for set, counts := range d.smoothed {
 		total := d.smoothed.Total(set)
 		if total == 0 {
 			continue
 		}
 		for expert, n := range counts {
-			estimate[set][expert] = n * even / total
+			estimate[set][expert] = n * perSet / total
 		}
 	}
 	return estimate
--- a/internal/experts/holder.go
+++ b/internal/experts/holder.go
@@ -11,76 +11,78 @@
 	"github.com/sirupsen/logrus"
 )
 
-// Observation is what the agent of a rank tells.
+// Observation is the response of a rank's agent to a Query.
 type Observation struct {
 	Report RankReport
 	Counts Counts
-	// Experts are those of the map in use, set by set, when asked for.
+	// Experts are those of the map in use, by set, if the query asks for them.
 	Experts [][]int
-	// Fence is the highest that the agent has heard of.
+	// Fence is the highest fencing token that the agent has seen.
 	Fence int64
 }
 
-// Ranks reaches the agents of a group's ranks.
+// RankClient calls the agents of a group's ranks.
 type RankClient interface {
-	// Observe reads a rank's state and what else is asked for.
-	Observe(ctx context.Context, rank int, fence int64, ask Query) (Observation, error)
-	// Command gives a rank's engine an order.
-	// direct orders go past the rank's agent.
-	SendCommand(ctx context.Context, rank int, order Command, direct bool) (Result, error)
-	// Room is how many bytes of counts a holder may ask for in a second.
+	// Observe reads the state of a rank and the rest of what query selects.
+	Observe(ctx context.Context, rank int, fence int64, query Query) (Observation, error)
+	// SendCommand sends a command to a rank. If direct is set, it goes to the
+	// engine and bypasses the agent.
+	SendCommand(ctx context.Context, rank int, command Command, direct bool) (Result, error)
+	// CountsBandwidth returns how many bytes of counts may be queried per second.
 	CountsBandwidth() float64
 }
 
 const (
-	// stagePace is the time between two looks while a switch waits for reports.
+	// switchPollInterval is the time between two observations during a switch.
 	switchPollInterval = 40 * time.Millisecond
-	// rankPace is the least time between two looks for each rank: a datagram and its
-	// answer took some 0.1 ms of a VM with a quarter of a core.
+	// pollIntervalPerRank is the least time between two observations per rank of
+	// the group. It bounds the CPU time spent on datagrams.
 	pollIntervalPerRank = 500 * time.Microsecond
-	// countBytes is the size of one count in an answer: one or two bytes as a rule.
+	// bytesPerCount is the typical encoded size of one count.
 	bytesPerCount = 1.5
-	// countsPerLook is how many counts are asked of a rank at once, so that they fit
-	// into a datagram.
+	// countsPerQuery is how many counts of a rank fit into a datagram.
 	countsPerQuery = 600
-	// callTimeout bounds a call to a rank's agent, commandTimeout one that carries an
-	// order: an order without an answer is repeated. Both grow by rankTime for each
-	// rank that is called at once, prepare orders by mapTime: whole maps go over HTTP.
+	// callTimeout bounds a call to a rank's agent, commandTimeout a call with a
+	// command, which is repeated after that. Both grow by timeoutPerRank for each
+	// rank of the group; Prepare commands, which may go over HTTP, by
+	// mapTimeoutPerRank instead.
 	callTimeout       = 250 * time.Millisecond
 	commandTimeout    = 120 * time.Millisecond
 	timeoutPerRank    = time.Millisecond
 	mapTimeoutPerRank = 12 * time.Millisecond
-	// leastShare keeps the trigger finite for engines without experts.
+	// minExpertShare keeps the trigger finite for engines without experts.
 	minExpertShare = 0.01
-	// leastChoices is how many choices of experts a plan must rest on.
+	// minPlanChoices is the number of expert selections that a plan needs.
 	minPlanChoices = 2000
-	// prepareTimeout gives a switch up that isn't prepared everywhere by then.
+	// prepareTimeout is how long all ranks may take to prepare a map before the
+	// switch is aborted.
 	prepareTimeout = 4 * time.Second
 )
 
-// Lease is what a holder starts with.
+// Lease is a claimed lease with the parameters of its group.
 type Lease struct {
 	ClaimResult
-	// Size is the number of the group's ranks, OwnRank that of the engine beside the holder.
+	// Size is the number of ranks; OwnRank is the rank on this VM.
 	Size, OwnRank int
 	// Engine is the published cost model of the group's engines.
 	Engine *fleet.EngineModel
-	// Pause is the longest pause between events that callers take as prompt.
+	// MaxEventGap is the longest gap between events of a stream that callers
+	// accept as prompt.
 	MaxEventGap time.Duration
-	// Changed is told of each new map in use; nil when nobody wants to know. It must not block.
+	// OnMapChange, if set, is called when a new map is in use. It must not block.
 	OnMapChange func(MapChange)
 }
 
-// MapChange is a switch that all ranks have made.
+// MapChange describes a completed switch.
 type MapChange struct {
 	Fence, Epoch, Version int64
-	// Pass is the first that ran with the map.
+	// Pass is the first pass that ran with the map.
 	Pass int64
-	// Moves is how many copies of experts were loaded or dropped.
+	// Moves is the number of replicas that were loaded or dropped.
 	Moves int
 }
 
-// Holder steers one group while this process has its lease.
+// Holder manages the expert map of one group while this process holds its lease.
 type Holder struct {
 	ranks  RankClient
 	lease  Lease
@@ -88,40 +90,40 @@
 	log    *logrus.Entry
 	now    func() time.Time
 
-	mu        sync.Mutex // guards what the concurrent calls of a round feed; a leaf
+	mu        sync.Mutex // guards the state that concurrent calls of a round update; leaf lock
 	state     *MapSwitch
 	demand    *Demand
 	planner   *rebalance.Planner
 	shape     rebalance.Shape
 	placement *rebalance.Placement
-	// planned is where the present switch leads, by so many moves.
+	// planned is the placement that the current switch leads to.
 	planned      *rebalance.Placement
 	plannedMoves int
-	// copies is how many experts the rank that copies most has to copy for it.
+	// plannedCopies is the largest number of experts that one rank has to copy.
 	plannedCopies int
-	// switchTime is the smoothed time that a switch takes besides its copies.
+	// switchTime is the moving average of the time that a switch takes besides copying.
 	switchTime time.Duration
-	// placementEpoch and placementVersion are those of placement.
+	// placementEpoch and placementVersion identify placement.
 	placementEpoch, placementVersion int64
 	rankExperts                      [][][]int
 	switchStartedAt                  time.Time
 	highestFence                     int64
 	loggedStage                      Stage
-	// armedFrom is when arming began; passTime is the smoothed time of a pass, from
-	// the newest pass seen at passSeenAt.
+	// passTime is the moving average of the time that a pass takes, updated when
+	// lastPass was seen.
 	armingStartedAt time.Time
 	passTime        time.Duration
 	lastPass        int64
 	lastPassAt      time.Time
-	// countedAt is when counts were asked for last, countRound how often.
+	// countRoundAt is when the last round of counts began.
 	countRoundAt time.Time
 	countRound   int
-	// lost are the ranks that couldn't be observed last time.
+	// unreachable marks the ranks that couldn't be observed last time.
 	unreachable []bool
 }
 
-// NewHolder returns a holder with a fresh lease. policy is asked before each
-// decision, since operators may change it.
+// NewHolder returns the holder of a lease. It calls policy before each decision,
+// since operators may change it.
 func NewHolder(ranks RankClient, lease Lease, policy func() Policy, now func() time.Time, log *logrus.Entry) *Holder {
 	shape := rebalance.Shape{
 		Ranks: lease.Size, Experts: lease.Engine.Experts, Layers: lease.Engine.Sets, Slots: lease.Engine.Placements,
@@ -135,18 +137,18 @@
 	}
 }
 
-// Run steers until the context ends or another holder has a higher fence.
+// Run manages the map until the context ends or the lease is superseded.
 func (h *Holder) Run(ctx context.Context) {
 	for ctx.Err() == nil && !h.superseded() {
-		began := h.now()
+		startedAt := h.now()
 		h.observe(ctx)
 		h.updatePassTime()
 		h.plan()
 		h.sendCommands(ctx)
 		h.logStageChange()
-		wait.For(ctx, h.pollInterval()-h.now().Sub(began))
+		wait.For(ctx, h.pollInterval()-h.now().Sub(startedAt))
 	}
-	h.log.Info("no longer holder")
+	h.log.Info("no longer lease holder")
 }
 
 func (h *Holder) superseded() bool {
@@ -155,7 +157,7 @@
 	return h.state.Fenced() || h.highestFence > h.lease.Fence
 }
 
-// observe looks at all ranks at once.
+// observe queries all ranks concurrently.
 func (h *Holder) observe(ctx context.Context) {
 	needExperts := h.placement == nil || h.placementEpoch != h.state.Epoch() ||
 		(h.state.Stage() == StageIdle && h.mapInUse() != h.placementVersion)
@@ -191,40 +193,38 @@
 	h.logDemandJump(h.demand.EndSample(h.now()))
 }
 
-// noteDemand logs that demand has jumped.
 func (h *Holder) logDemandJump(sample Sample) {
 	if !sample.Jumped {
 		return
 	}
 	h.log.WithFields(logrus.Fields{
 		"epoch": h.state.Epoch(), "choices": sample.Choices, "distance": sample.Distance, "usual": sample.Baseline,
-	}).Info("expert demand has jumped: the estimate begins anew")
+	}).Info("expert demand jumped, estimate reset")
 }
 
-// noteStage logs when a switch moves on; each stage ends within some passes.
 func (h *Holder) logStageChange() {
 	stage := h.state.Stage()
 	if stage != h.loggedStage {
 		h.log.WithFields(logrus.Fields{
 			"stage": stage.String(), "before": h.loggedStage.String(), "version": h.state.Version(), "pass": h.state.pass,
-		}).Info("switch moved on")
+		}).Info("map switch stage changed")
 	}
 	h.loggedStage = stage
 }
 
-// noteRank logs when a rank is lost or regained.
+// trackReachability logs when a rank becomes unreachable or reachable again.
 func (h *Holder) trackReachability(rank int, err error) {
 	log := h.log.WithField("rank", rank)
 	switch {
 	case err != nil && !h.unreachable[rank]:
-		log.WithError(err).Warn("rank lost")
+		log.WithError(err).Warn("rank unreachable")
 	case err == nil && h.unreachable[rank]:
-		log.Info("rank regained")
+		log.Info("rank reachable again")
 	}
 	h.unreachable[rank] = err != nil
 }
 
-// each runs f for every rank at once.
+// forEachRank calls f for all ranks concurrently.
 func (h *Holder) forEachRank(f func(rank int)) {
 	var all sync.WaitGroup
 	for rank := range h.shape.Ranks {
@@ -233,8 +233,8 @@
 	all.Wait()
 }
 
-// drive gives the orders that are due until the state waits for reports, or comes
-// back to a stage: then what the ranks report has to be looked at first.
+// sendCommands sends pending commands until the protocol waits for reports or
+// returns to an earlier stage, which needs fresh reports first.
 func (h *Holder) sendCommands(ctx context.Context) {
 	visited := map[Stage]bool{}
 	for ctx.Err() == nil {
@@ -273,7 +273,7 @@
 	if err != nil {
 		h.log.WithError(err).WithFields(logrus.Fields{
 			"rank": command.Rank, "stage": h.state.Stage().String(), "version": command.Command.Version, "pass": command.Command.Pass,
-		}).Info("order not accepted")
+		}).Info("command not accepted")
 	}
 	h.state.HandleResult(h.now(), command.Rank, command.Command, result)
 }
--- a/internal/experts/holder_test.go
+++ b/internal/experts/holder_test.go
@@ -13,8 +13,8 @@
 	logrustest "github.com/sirupsen/logrus/hooks/test"
 )
 
-// heldRanks are three ranks, one of which holds a pass for a former holder at the
-// unreachable rank 1. Rank 0's engine refuses every map.
+// ranksWithHold simulates three ranks. Rank 2 holds a pass for the former holder at
+// formerRank, which is unreachable. The engine of rank 0 refuses every map.
 type ranksWithHold struct {
 	mu       sync.Mutex
 	prepares int
@@ -24,7 +24,7 @@
 
 func (r *ranksWithHold) Observe(_ context.Context, rank int, fence int64, _ Query) (Observation, error) {
 	if rank == formerRank {
-		return Observation{}, errors.New("no answer")
+		return Observation{}, errors.New("no response")
 	}
 	report := RankReport{Group: "g", Epoch: 1, Rank: rank, Size: 3, Open: true, Pass: 8}
 	if rank == 2 {
@@ -45,8 +45,8 @@
 
 func (r *ranksWithHold) CountsBandwidth() float64 { return 1e6 }
 
-// likingRanks are two ranks whose requests choose by a popularity that a spec changes.
-// They copy nothing: a switch stays in its first stage.
+// ranksWithPopularity simulates two ranks with adjustable popularity of the experts.
+// They never finish preparing, so a switch stays in StagePrepare.
 type ranksWithPopularity struct {
 	mu         sync.Mutex
 	popularity []float64
@@ -72,8 +72,8 @@
 
 func (r *ranksWithPopularity) CountsBandwidth() float64 { return 1e6 }
 
-var _ = Describe("a holder whose ranks still copy", func() {
-	It("gives the switch up when demand has jumped, and plans for what is liked now", func() {
+var _ = Describe("a holder whose ranks are preparing a map", func() {
+	It("aborts the switch when demand jumps and plans for the new demand", func() {
 		logger, _ := logrustest.NewNullLogger()
 		now := time.Unix(1000, 0)
 		ranks := &ranksWithPopularity{popularity: []float64{9000, 400, 300, 300}}
@@ -95,18 +95,18 @@
 		first := h.state.Version()
 		ranks.popularity = []float64{300, 300, 400, 9000}
 		observe()
-		Expect(h.state.Version()).To(Equal(first), "the look had passes of both sides")
+		Expect(h.state.Version()).To(Equal(first), "the sample contains passes from before and after the jump")
 		observe()
 		Expect(h.state.Stage()).To(Equal(StagePrepare))
 		Expect(h.state.Version()).To(BeNumerically(">", first))
 		newest := ranks.prepared[len(ranks.prepared)-1]
 		Expect(newest.Map[0]).To(ContainElements(ContainElement(3), ContainElement(3)))
-		Expect(newest.Map[0][0]).To(ContainElement(3), "the first rank copies what is liked now")
+		Expect(newest.Map[0][0]).To(ContainElement(3), "the first rank copies the popular expert")
 	})
 })
 
 var _ = Describe("a new holder", func() {
-	It("looks at the ranks again when undoing what the former one did comes back to where it began", func() {
+	It("observes the ranks again when its undo returns to an earlier stage", func() {
 		logger, _ := logrustest.NewNullLogger()
 		now := time.Unix(1000, 0)
 		ranks := &ranksWithHold{}
@@ -122,7 +122,7 @@
 		bounded, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 		defer cancel()
 		h.sendCommands(bounded)
-		Expect(bounded.Err()).NotTo(HaveOccurred(), "it went on without a look")
+		Expect(bounded.Err()).NotTo(HaveOccurred(), "it kept sending commands without an observation")
 		Expect(ranks.prepares).To(Equal(1))
 	})
 })
--- a/internal/experts/lease.go
+++ b/internal/experts/lease.go
@@ -12,42 +12,41 @@
 	"github.com/pkg/errors"
 )
 
-// LeaseRecord is one line of a group's history of holders. Its position is the
-// lease's fencing number: an append under a condition decides between two that
-// claim at once.
+// LeaseRecord is an entry of the lease history. Its position determines the
+// fencing token: a conditional append decides between concurrent claims.
 type LeaseRecord struct {
 	Group  string `json:"group"`
 	Holder string `json:"holder"`
-	// Rank is that of the engine beside the holder.
+	// Rank is the rank on the holder's VM.
 	Rank int `json:"rank"`
 }
 
-// StoredRecord is a record with its position.
+// StoredRecord is an encoded record with its position.
 type StoredRecord struct {
 	Position storelog.Position
 	Data     []byte
 }
 
-// LeaseStore keeps the history of holders.
+// LeaseStore stores the lease history.
 type LeaseStore interface {
-	// ReadLeases returns the end of the history and its records from a position on, or all
-	// that are kept if that is of another era of the store.
+	// ReadLeases returns the end of the history and the records from a position on.
+	// If the position is of another era, it returns all records that are kept.
 	ReadLeases(ctx context.Context, from storelog.Position) (storelog.Position, []StoredRecord, error)
-	// AppendLease adds a record if the history ends at a position. It tells whether
-	// it did; an error leaves that open.
+	// AppendLease appends a record if the history ends at end, and reports whether
+	// it did. After an error the record may or may not have been appended.
 	AppendLease(ctx context.Context, end storelog.Position, data []byte) (bool, error)
 }
 
-// Held is a lease as its newest record tells it.
+// LeaseState is the newest lease of a group in the history.
 type LeaseState struct {
 	LeaseRecord
 	Fence int64
-	// Unreadable counts the records of the history that can't be read: other writers may
-	// have left them. They are nobody's lease.
+	// Unreadable is the number of records that can't be decoded, as other writers
+	// may leave them. They are ignored.
 	Unreadable int
 }
 
-// Newest returns the newest lease in a group's history; its fence is 0 when there is none.
+// CurrentLease returns the newest lease of a group. Its fence is 0 if there is none.
 func CurrentLease(ctx context.Context, store LeaseStore, group string) (LeaseState, error) {
 	_, records, err := store.ReadLeases(ctx, 0)
 	if err != nil {
@@ -56,7 +55,7 @@
 	return newestLease(records, group), nil
 }
 
-// Holders returns the newest lease of each group in the history, by group.
+// CurrentLeases returns the newest lease of each group, sorted by group.
 func CurrentLeases(ctx context.Context, store LeaseStore) ([]LeaseState, error) {
 	_, records, err := store.ReadLeases(ctx, 0)
 	if err != nil {
@@ -66,7 +65,7 @@
 	for _, r := range records {
 		var record LeaseRecord
 		if err := json.Unmarshal(r.Data, &record); err != nil {
-			continue // nobody's lease
+			continue // ignore records of other writers
 		}
 		newestByGroup[record.Group] = LeaseState{LeaseRecord: record, Fence: fenceOf(r.Position)}
 	}
@@ -75,8 +74,8 @@
 	return leases, nil
 }
 
-// newestOf returns the newest lease of a group among records, or one with fence 0 and
-// rank -1.
+// newestLease returns the newest lease of a group among records, or one with
+// fence 0 and rank -1.
 func newestLease(records []StoredRecord, group string) LeaseState {
 	unreadable := 0
 	newest := LeaseState{LeaseRecord: LeaseRecord{Group: group, Rank: -1}}
@@ -94,21 +93,21 @@
 	return newest
 }
 
-// Claimed is what became of a claim.
+// ClaimResult is the outcome of ClaimLease.
 type ClaimResult struct {
-	// Fence is the new lease's fencing number, or 0 when there is none.
+	// Fence is the fencing token of the new lease, or 0 if it wasn't granted.
 	Fence int64
-	// Newest is the highest fencing number in the history.
+	// Newest is the highest fencing token in the history.
 	Newest int64
-	// FormerRank is the rank of the holder before, or -1 when that isn't known.
+	// FormerRank is the rank of the previous holder, or -1 if unknown.
 	FormerRank int
-	// Unreadable counts the history's records that can't be read.
+	// Unreadable is the number of records that can't be decoded.
 	Unreadable int
 }
 
-// Claim tries to become the holder of a group. knownFence is the highest number
-// that is known: a newer one in the history means that somebody else has
-// claimed since, and is given the time to call.
+// ClaimLease tries to claim the lease of a group. knownFence is the highest
+// fencing token that the caller has seen. If the history has a newer one, another
+// daemon has claimed the lease since, and ClaimLease leaves it to that daemon.
 func ClaimLease(ctx context.Context, store LeaseStore, record LeaseRecord, knownFence int64) (ClaimResult, error) {
 	end, records, err := store.ReadLeases(ctx, storelog.Position(max(knownFence-1, 0)))
 	if err != nil {
@@ -120,7 +119,7 @@
 	}
 	data, err := json.Marshal(record)
 	if err != nil {
-		return ClaimResult{}, errors.Wrap(err, "lease")
+		return ClaimResult{}, errors.Wrap(err, "encode lease record")
 	}
 	claimed, err := store.AppendLease(ctx, end, data)
 	if err != nil || !claimed {
@@ -129,18 +128,20 @@
 	return ClaimResult{Fence: fenceOf(end), Newest: fenceOf(end), FormerRank: newest.Rank, Unreadable: newest.Unreadable}, nil
 }
 
-// fenceOf returns the fencing number of a position: positions begin at 0, numbers at 1. With
-// the era in it, it rises when the store comes back from an older copy, too.
+// fenceOf returns the fencing token of a position. Positions begin at 0, tokens at 1.
+// Positions contain the era, so tokens also increase when the store is restored from
+// a backup.
 func fenceOf(at storelog.Position) int64 { return int64(at) + 1 }
 
 const (
-	// silenceBase is how long the agents hear from no holder before one claims the
-	// lease, silenceStep how much longer each next rank waits, so that as a rule one claims.
+	// claimDelayBase is how long agents wait for a call of the holder before they
+	// claim the lease. claimDelayPerRank staggers the claims of the ranks.
 	claimDelayBase    = 500 * time.Millisecond
 	claimDelayPerRank = 40 * time.Millisecond
 )
 
-// Silence is how long the agent of a rank waits for a holder before it claims.
+// ClaimDelay returns how long the agent of a rank waits for a call of the holder
+// before it claims the lease.
 func ClaimDelay(rank int) time.Duration {
 	return claimDelayBase + time.Duration(rank)*claimDelayPerRank
 }
--- a/internal/experts/lease_eras_test.go
+++ b/internal/experts/lease_eras_test.go
@@ -10,12 +10,12 @@
 	"pgregory.net/rapid"
 )
 
-// eraLeases is a history of holders that comes back from copies of itself.
+// restoredStore is a lease store that can be restored from a backup.
 type restoredStore struct {
 	era          int64
 	records      []StoredRecord
 	backupLength int
-	// returns makes it come back between the read and the append of the next claim.
+	// restoreAfterRead restores the store between the read and the append of the next claim.
 	restoreAfterRead bool
 }
 
@@ -50,7 +50,7 @@
 	}
 	s.records = append(s.records, StoredRecord{Position: s.end(), Data: data})
 	if end.Era() != s.era {
-		return false, errors.New("in another era")
+		return false, errors.New("position of another era")
 	}
 	return true, nil
 }
@@ -64,7 +64,7 @@
 			switch {
 			case err != nil:
 			case claimed.Fence > 0 && claimed.Fence <= highest:
-				t.Fatalf("%s got token %d after %d", holder, claimed.Fence, highest)
+				t.Fatalf("%s got fence %d after %d", holder, claimed.Fence, highest)
 			case claimed.Fence == 0:
 				known[holder] = max(known[holder], claimed.Newest)
 			default:
@@ -72,11 +72,11 @@
 			}
 		}
 		t.Repeat(map[string]func(*rapid.T){
-			"claim":                   claim,
-			"claim again":             claim,
-			"copy":                    func(*rapid.T) { store.backupLength = len(store.records) },
-			"come back":               func(*rapid.T) { store.restore() },
-			"come back while claimed": func(*rapid.T) { store.restoreAfterRead = true },
+			"claim":                  claim,
+			"claim again":            claim,
+			"take backup":            func(*rapid.T) { store.backupLength = len(store.records) },
+			"restore":                func(*rapid.T) { store.restore() },
+			"restore during a claim": func(*rapid.T) { store.restoreAfterRead = true },
 		})
 	})
 }
--- a/internal/experts/lease_property_test.go
+++ b/internal/experts/lease_property_test.go
@@ -10,15 +10,14 @@
 	"pgregory.net/rapid"
 )
 
-// The seed is fixed, so that CI gives the same verdict every time; -rapid.seed=0
-// draws another one.
+// The fixed seed keeps CI deterministic; -rapid.seed=0 draws a random one.
 func init() {
 	if err := flag.Set("rapid.seed", "1"); err != nil {
 		panic(err)
 	}
 }
 
-// historyStore keeps leases in memory. It may lose the answer to an append.
+// lossyStore keeps leases in memory. It may lose the response to an append.
 type lossyStore struct {
 	records      []StoredRecord
 	loseResponse bool
@@ -35,14 +34,13 @@
 	}
 	s.records = append(s.records, StoredRecord{Position: end, Data: data})
 	if s.loseResponse {
-		return false, errors.New("answer lost")
+		return false, errors.New("response lost")
 	}
 	return true, nil
 }
 
-// TestLeaseFenceGrows: a claim takes the lease only when its claimer knows the
-// newest one, fencing numbers only grow, no two claimers get the same, and the
-// history names the holder that got it.
+// TestLeaseFenceIncreases checks that a claim succeeds only if the claimer knows the
+// newest lease, that fencing tokens increase, and that the history names the holder.
 func TestLeaseFenceIncreases(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		store, known := &lossyStore{}, map[string]int64{}
@@ -50,28 +48,28 @@
 		for range 40 {
 			holder := rapid.SampledFrom([]string{"h1", "h2", "h3"}).Draw(t, "holder")
 			group := rapid.SampledFrom([]string{"g", "other"}).Draw(t, "group")
-			store.loseResponse = rapid.Bool().Draw(t, "answer lost")
+			store.loseResponse = rapid.Bool().Draw(t, "response lost")
 			claimed, err := ClaimLease(context.Background(), store, LeaseRecord{Group: group, Holder: holder}, known[holder+group])
 			if group != "g" {
 				continue
 			}
 			held := currentLease(t, store, "g")
 			if err != nil {
-				newest = held.Fence // nobody knows that it was taken
+				newest = held.Fence // the claim succeeded without anyone knowing
 				continue
 			}
 			if claimed.Fence == 0 {
 				if claimed.Newest <= known[holder+group] {
-					t.Fatalf("refused with %d although nothing newer than %d is in the history", claimed.Newest, known[holder+group])
+					t.Fatalf("claim refused with fence %d, although the history has none newer than %d", claimed.Newest, known[holder+group])
 				}
 				known[holder+group] = claimed.Newest
 				continue
 			}
 			if known[holder+group] != newest || claimed.Fence <= newest {
-				t.Fatalf("%s knew %d and got %d when the newest was %d", holder, known[holder+group], claimed.Fence, newest)
+				t.Fatalf("%s knew fence %d and got %d when the newest was %d", holder, known[holder+group], claimed.Fence, newest)
 			}
 			if held.Holder != holder || held.Fence != claimed.Fence {
-				t.Fatalf("%s got %d, the history says %+v", holder, claimed.Fence, held)
+				t.Fatalf("%s got fence %d, the history has %+v", holder, claimed.Fence, held)
 			}
 			newest, known[holder+group] = claimed.Fence, claimed.Fence
 		}
--- a/internal/experts/model_engine_test.go
+++ b/internal/experts/model_engine_test.go
@@ -2,7 +2,7 @@
 
 package experts
 
-// modelEngine is one rank's engine.
+// modelEngine models the engine of one rank.
 type modelEngine struct {
 	version, prepared, highest int64
 	armed, armedPass           int64
@@ -10,56 +10,56 @@
 	fence                      int64
 }
 
-// lateOrder has had no answer and is carried out later.
+// delayedCommand got no response and is executed later.
 type delayedCommand struct {
 	rank    int
 	command Command
 }
 
-// apply carries out an order at an engine.
-func (m *modelState) apply(rank int, o Command, checkFence, checkEpoch bool) Result {
+// apply executes a command at an engine.
+func (m *modelState) apply(rank int, c Command, checkFence, checkEpoch bool) Result {
 	e := &m.engines[rank]
 	if checkFence {
-		if o.Fence < e.fence {
+		if c.Fence < e.fence {
 			return Fenced
 		}
-		e.fence = o.Fence
+		e.fence = c.Fence
 	}
-	if checkEpoch && o.Epoch != m.epoch {
+	if checkEpoch && c.Epoch != m.epoch {
 		return Refused
 	}
-	switch o.Operation {
+	switch c.Operation {
 	case Prepare:
-		if o.Version == e.prepared {
+		if c.Version == e.prepared {
 			return Accepted
 		}
-		if o.Version <= e.highest || e.armed != 0 {
+		if c.Version <= e.highest || e.armed != 0 {
 			return Refused
 		}
-		e.prepared, e.highest = o.Version, o.Version
+		e.prepared, e.highest = c.Version, c.Version
 	case Arm:
-		if o.Version != e.prepared || o.Pass <= m.pass {
+		if c.Version != e.prepared || c.Pass <= m.pass {
 			return Refused
 		}
-		e.armed, e.armedPass = o.Version, o.Pass
+		e.armed, e.armedPass = c.Version, c.Pass
 	case Hold:
-		if o.Pass <= m.pass || (e.held != 0 && e.held != o.Pass) {
+		if c.Pass <= m.pass || (e.held != 0 && e.held != c.Pass) {
 			return Refused
 		}
-		e.held = o.Pass
+		e.held = c.Pass
 	case Release:
-		if e.held == o.Pass {
+		if e.held == c.Pass {
 			e.held = 0
 		}
 	case Disarm:
-		if e.armed == o.Version {
+		if e.armed == c.Version {
 			e.armed, e.armedPass = 0, 0
 		}
 	}
 	return Accepted
 }
 
-// canPass tells whether the next pass may begin.
+// canBeginPass reports whether the next pass may begin.
 func (m *modelState) canBeginPass() bool {
 	for _, e := range m.engines {
 		if e.held == m.pass+1 {
@@ -69,7 +69,7 @@
 	return m.pass < modelPasses
 }
 
-// beginPass runs the next pass. It returns false when two maps meet in it.
+// beginPass runs the next pass. It reports whether all ranks used the same map.
 func (m *modelState) beginPass() bool {
 	m.pass++
 	for rank := range m.engines {
--- a/internal/experts/model_test.go
+++ b/internal/experts/model_test.go
@@ -1,6 +1,6 @@
 //go:build !race
 
-// The walks have one goroutine; the race detector would only slow them down.
+// The walks run in one goroutine, so the race detector would only slow them down.
 
 package experts
 
@@ -12,11 +12,10 @@
 	"time"
 )
 
-// The model: three ranks of a group with engines as the platform describes
-// them, two holders of the lease, the second of which may take over at any
-// moment, and orders that are answered, lost and carried out late, or repeated.
-// Reports are fresh, or were read some steps ago. Everything below the holders
-// is the model; the holders are the product's own Switch.
+// The model has three ranks with engines and up to two holders of the lease, the
+// second of which may take over at any moment. Commands may get a response, be lost,
+// delayed or repeated; reports may be stale. Everything below the holders is modeled;
+// the holders are real MapSwitches.
 
 const (
 	modelRanks  = 3
@@ -26,7 +25,7 @@
 
 type modelState struct {
 	engines [modelRanks]modelEngine
-	// heard is the highest fence that each rank's agent has heard of.
+	// seenFence is the highest fencing token that the agent of each rank has seen.
 	seenFence [modelRanks]int64
 	epoch     int64
 	pass      int64
@@ -34,8 +33,8 @@
 	holders   [2]*MapSwitch
 	started   [2]int
 	reformed  bool
-	// cutOff is set while the first holder's VM can't be reached by the second; cuts
-	// counts how often.
+	// partitioned is set while the second holder can't reach the VM of the first;
+	// partitions counts the changes.
 	partitioned bool
 	partitions  int
 	now         int64
@@ -72,7 +71,7 @@
 	return &c
 }
 
-// key identifies the state apart from the time.
+// key identifies the state regardless of the time.
 func (m *modelState) key() string {
 	var b strings.Builder
 	fmt.Fprint(&b, m.engines, m.seenFence, m.epoch, m.pass, m.reformed, m.started, m.partitioned, m.partitions)
@@ -91,59 +90,59 @@
 	return b.String()
 }
 
-// observe gives a holder a rank's report, as its agent does.
-func (m *modelState) observe(h, rank int, bad *mutant) {
+// observe passes the report of a rank to a holder, as the rank's agent does.
+func (m *modelState) observe(h, rank int, broken *mutant) {
 	s := m.holders[h]
-	if s.fence < m.seenFence[rank] && !bad.ignoresFence {
+	if s.fence < m.seenFence[rank] && !broken.ignoresFence {
 		s.fenced = true
 		return
 	}
 	m.seenFence[rank] = max(m.seenFence[rank], s.fence)
 	s.HandleReport(clock(m.now), rank, m.report(rank))
-	bad.runAfter(s)
+	broken.runAfter(s)
 }
 
-func (bad *mutant) runAfter(s *MapSwitch) {
-	if bad.after != nil {
-		bad.after(s)
+func (broken *mutant) runAfter(s *MapSwitch) {
+	if broken.after != nil {
+		broken.after(s)
 	}
 }
 
-// command sends one order of a holder. answered tells whether the answer comes
-// back; if not, the order is carried out now or later.
-func (m *modelState) sendCommand(h int, o RankCommand, responds, delayed bool, bad *mutant) {
+// sendCommand sends a command of a holder. If responds is false, the holder gets no
+// response; if delayed is true, the command is executed later.
+func (m *modelState) sendCommand(h int, c RankCommand, responds, delayed bool, broken *mutant) {
 	s := m.holders[h]
 	result := Fenced
-	if o.Direct || o.Command.Fence >= m.seenFence[o.Rank] || bad.ignoresFence {
-		if !o.Direct {
-			m.seenFence[o.Rank] = max(m.seenFence[o.Rank], o.Command.Fence)
+	if c.Direct || c.Command.Fence >= m.seenFence[c.Rank] || broken.ignoresFence {
+		if !c.Direct {
+			m.seenFence[c.Rank] = max(m.seenFence[c.Rank], c.Command.Fence)
 		}
 		if delayed {
-			m.delayed = append(m.delayed, delayedCommand{o.Rank, o.Command})
+			m.delayed = append(m.delayed, delayedCommand{c.Rank, c.Command})
 			result = NoResponse
 		} else {
-			result = m.apply(o.Rank, o.Command, !bad.ignoresFence, !bad.noEpoch)
+			result = m.apply(c.Rank, c.Command, !broken.ignoresFence, !broken.noEpoch)
 		}
 	}
 	if !responds {
 		result = NoResponse
 	}
-	if bad.result != nil {
-		result = bad.result(o.Command, result)
+	if broken.result != nil {
+		result = broken.result(c.Command, result)
 	}
-	s.HandleResult(clock(m.now), o.Rank, o.Command, result)
-	bad.runAfter(s)
+	s.HandleResult(clock(m.now), c.Rank, c.Command, result)
+	broken.runAfter(s)
 }
 
-// step is one thing that can happen.
+// step is a possible event.
 type step struct {
 	name string
 	do   func(m *modelState) bool
 }
 
-// steps lists what can happen in a state. A step returns false when it broke
-// the promise.
-func (m *modelState) steps(bad *mutant) []step {
+// steps returns the possible events in a state. Their functions report whether all
+// ranks still use the same map.
+func (m *modelState) steps(broken *mutant) []step {
 	var steps []step
 	add := func(name string, do func(m *modelState)) {
 		steps = append(steps, step{name, func(m *modelState) bool {
@@ -155,10 +154,10 @@
 		steps = append(steps, step{"pass", (*modelState).beginPass})
 	}
 	for i := range m.delayed {
-		add(fmt.Sprint("late ", i), func(m *modelState) {
-			l := m.delayed[i]
+		add(fmt.Sprint("execute delayed ", i), func(m *modelState) {
+			delayed := m.delayed[i]
 			m.delayed = append(append([]delayedCommand(nil), m.delayed[:i]...), m.delayed[i+1:]...)
-			m.apply(l.rank, l.command, false, !bad.noEpoch)
+			m.apply(delayed.rank, delayed.command, false, !broken.noEpoch)
 		})
 	}
 	if m.holders[1] == nil {
@@ -167,7 +166,7 @@
 		})
 	}
 	if !m.reformed && m.pass > 1 {
-		add("group forms anew", func(m *modelState) {
+		add("group is formed again", func(m *modelState) {
 			m.reformed = true
 			m.epoch++
 			for rank := range m.engines {
@@ -176,7 +175,7 @@
 		})
 	}
 	if m.partitioned || (m.holders[1] != nil && m.partitions < 2) {
-		add("cut", func(m *modelState) {
+		add("partition begins or ends", func(m *modelState) {
 			m.partitioned = !m.partitioned
 			m.partitions++
 		})
@@ -188,33 +187,33 @@
 		for rank := range modelRanks {
 			if h == 1 && rank == 0 && m.partitioned {
 				if !s.unreachable[0] {
-					add("holder 1 misses 0", func(m *modelState) {
+					add("holder 1 can't reach 0", func(m *modelState) {
 						m.holders[1].MarkUnreachable(clock(m.now), 0)
-						bad.runAfter(m.holders[1])
+						broken.runAfter(m.holders[1])
 					})
 				}
 				continue
 			}
 			if !same(s.reports[rank], m.report(rank)) || s.reportedAt[rank].IsZero() {
-				add(fmt.Sprint("holder ", h, " observes ", rank), func(m *modelState) { m.observe(h, rank, bad) })
+				add(fmt.Sprint("holder ", h, " observes ", rank), func(m *modelState) { m.observe(h, rank, broken) })
 			}
 		}
 		if s.Ready() && m.started[h] < 2 {
-			add(fmt.Sprint("holder ", h, " begins"), func(m *modelState) {
+			add(fmt.Sprint("holder ", h, " starts a switch"), func(m *modelState) {
 				m.started[h]++
 				m.holders[h].Start(nil)
-				bad.runAfter(m.holders[h])
+				broken.runAfter(m.holders[h])
 			})
 		}
-		for _, o := range s.PendingCommands() {
-			if h == 1 && o.Rank == 0 && m.partitioned {
+		for _, c := range s.PendingCommands() {
+			if h == 1 && c.Rank == 0 && m.partitioned {
 				continue
 			}
-			name := fmt.Sprint("holder ", h, " orders ", o.Rank, " ", o.Command.Operation, " v", o.Command.Version, " p", o.Command.Pass)
-			add(name, func(m *modelState) { m.sendCommand(h, o, true, false, bad) })
+			name := fmt.Sprint("holder ", h, " commands ", c.Rank, " ", c.Command.Operation, " v", c.Command.Version, " p", c.Command.Pass)
+			add(name, func(m *modelState) { m.sendCommand(h, c, true, false, broken) })
 			if len(m.delayed) < maxDelayed && s.stage != StagePrepare {
-				add(name+", late", func(m *modelState) { m.sendCommand(h, o, false, true, bad) })
-				add(name+", answer lost", func(m *modelState) { m.sendCommand(h, o, false, false, bad) })
+				add(name+", delayed", func(m *modelState) { m.sendCommand(h, c, false, true, broken) })
+				add(name+", response lost", func(m *modelState) { m.sendCommand(h, c, false, false, broken) })
 			}
 		}
 	}
@@ -223,18 +222,18 @@
 
 func same(a, b RankReport) bool { return a == b }
 
-// walk takes random steps and returns the trace up to a broken promise, or nil.
-func walk(random *rand.Rand, length int, bad *mutant) (*modelState, []string) {
+// walk takes random steps. It returns the trace if ranks used different maps, or nil.
+func walk(random *rand.Rand, length int, broken *mutant) (*modelState, []string) {
 	m := newModel()
 	for range length {
-		steps := m.steps(bad)
+		steps := m.steps(broken)
 		if len(steps) == 0 {
 			return m, nil
 		}
-		chosen := steps[random.IntN(len(steps))]
-		m.trace = append(m.trace, chosen.name)
+		next := steps[random.IntN(len(steps))]
+		m.trace = append(m.trace, next.name)
 		m.now++
-		if !chosen.do(m) {
+		if !next.do(m) {
 			return m, m.trace
 		}
 	}
@@ -246,7 +245,7 @@
 	walkLength = 160
 )
 
-// TestOneMapInEveryPass walks the model at random from a fixed seed.
+// TestOneMapInEveryPass checks the invariant along random walks with a fixed seed.
 func TestOneMapInEveryPass(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 1))
 	switched := 0
@@ -260,13 +259,12 @@
 		}
 	}
 	if switched < walks/20 {
-		t.Fatalf("only %d of %d walks saw a switch: the model is too hard to say anything", switched, walks)
+		t.Fatalf("only %d of %d walks had a switch: too few to test the invariant", switched, walks)
 	}
-	t.Logf("%d walks of up to %d steps, %d saw a switch", walks, walkLength, switched)
+	t.Logf("%d walks of up to %d steps, %d had a switch", walks, walkLength, switched)
 }
 
-// TestOneMapInEveryPassExhaustive explores every order of steps up to a number
-// of states, nearest first.
+// TestOneMapInEveryPassExhaustive checks the invariant by breadth-first search.
 func TestOneMapInEveryPassExhaustive(t *testing.T) {
 	const mostStates = 100_000
 	seen := map[string]bool{}
@@ -291,8 +289,8 @@
 	t.Logf("%d states", len(seen))
 }
 
-// TestGroupGoesOnAgain: with faults over, the last holder releases every hold,
-// and its next switch completes.
+// TestGroupRecoversAfterFaults checks that once faults have ended, the last holder
+// releases every hold and can complete new switches.
 func TestGroupRecoversAfterFaults(t *testing.T) {
 	random := rand.New(rand.NewPCG(3, 4))
 	none := &mutant{}
@@ -311,12 +309,12 @@
 			m.apply(l.rank, l.command, false, true)
 		}
 		if !m.recovers(none) {
-			t.Fatalf("the group stays stopped, stage %v:\n%s", m.holders[1].stage, strings.Join(m.trace, "\n"))
+			t.Fatalf("the group doesn't recover, stage %v:\n%s", m.holders[1].stage, strings.Join(m.trace, "\n"))
 		}
 	}
 }
 
-// recover runs the last holder fairly until two more switches are in use.
+// recovers reports whether the last holder completes two more switches.
 func (m *modelState) recovers(none *mutant) bool {
 	const rounds = 60
 	s := m.holders[1]
--- a/internal/experts/planning.go
+++ b/internal/experts/planning.go
@@ -7,26 +7,26 @@
 	"github.com/sirupsen/logrus"
 )
 
-// movesAtOnce bounds the moves of one switch, so that the map goes to the ranks as
-// a difference in one datagram. Two small switches are quicker than a large one:
-// 0.3 s each, against 0.9 s for a map of 72 ranks that went whole.
+// maxMovesPerSwitch bounds the moves of one switch, so that the difference of the
+// maps fits into one datagram. Two small switches are faster than one large map
+// sent over HTTP.
 const maxMovesPerSwitch = 170
 
 const (
-	// switchAtFirst is what a switch is taken to cost besides its copies until one has
-	// been measured, switchWeight the weight of the newest.
+	// initialSwitchTime is the estimate of what a switch takes besides copying, until
+	// one has been timed. switchTimeWeight is the weight of the newest sample.
 	initialSwitchTime = 300 * time.Millisecond
 	switchTimeWeight  = 0.3
 )
 
-// plan begins a switch if one pays.
+// plan starts a switch if a better map is worth its cost.
 func (h *Holder) plan() {
 	if h.state.Stage() == StagePrepare && h.now().Sub(h.switchStartedAt) > prepareTimeout {
-		h.log.WithField("version", h.state.Version()).Warn("switch given up: not prepared in time")
+		h.log.WithField("version", h.state.Version()).Warn("map switch aborted: not prepared in time")
 		h.state.Abort()
 	}
 	if h.planOutdated() {
-		h.log.WithField("version", h.state.Version()).Info("switch given up: demand has jumped since it was planned")
+		h.log.WithField("version", h.state.Version()).Info("map switch aborted: demand jumped after planning")
 		h.state.Abort()
 	}
 	if h.planned != nil && h.state.Stage() == StageIdle {
@@ -62,17 +62,17 @@
 	h.log.WithFields(logrus.Fields{
 		"version": h.state.Version(), "epoch": h.state.Epoch(), "moves": len(moves), "skew": before, "trigger": trigger, "planned_skew": after,
 		"copies": h.plannedCopies, "switch_ms": h.switchTime.Milliseconds(),
-	}).Info("expert map: switch begun")
+	}).Info("map switch started")
 }
 
-// outrun tells whether demand has jumped since the present switch was planned, while
-// nothing of it is armed or held: its copies are for what was liked before, and the
-// engines take a newer map at any time.
+// planOutdated reports whether demand has jumped since the current switch was
+// planned and nothing is armed or held yet. Its copies don't fit the new demand, and
+// the engines accept a newer map.
 func (h *Holder) planOutdated() bool {
 	return h.state.Stage() == StagePrepare && h.planned != nil && h.demand.Settled() && h.demand.JumpedAt().After(h.switchStartedAt)
 }
 
-// finishSwitch notes the end of a switch.
+// finishSwitch records the outcome of a switch.
 func (h *Holder) finishSwitch() {
 	log := h.log.WithFields(logrus.Fields{
 		"version": h.state.Version(), "epoch": h.state.Epoch(), "took_ms": h.now().Sub(h.switchStartedAt).Milliseconds(),
@@ -80,27 +80,25 @@
 	if h.state.Version() != 0 && h.mapInUse() == h.state.Version() {
 		h.placement, h.placementEpoch, h.placementVersion = h.planned, h.state.Epoch(), h.state.Version()
 		h.updateSwitchTime()
-		log.Info("expert map: in use at all ranks")
+		log.Info("map switch completed")
 		h.notifyMapChange()
 	} else {
-		log.Warn("expert map: switch ended without the map in use")
+		log.Warn("map switch ended without the new map in use")
 	}
 	h.planned = nil
 }
 
-// times are what a plan costs in time, by the engine's description and what the last
-// switches took.
+// timing returns the estimated duration of a plan.
 func (h *Holder) timing() rebalance.Timing {
 	return rebalance.Timing{Copy: h.lease.Engine.CopyTime, Switch: h.switchTime}
 }
 
-// timeSwitch measures what a switch takes besides its copies.
+// updateSwitchTime updates the moving average of what a switch takes besides copying.
 func (h *Holder) updateSwitchTime() {
-	took := h.now().Sub(h.switchStartedAt) - time.Duration(h.plannedCopies)*h.lease.Engine.CopyTime
-	h.switchTime += time.Duration(switchTimeWeight * float64(max(took, 0)-h.switchTime))
+	sample := h.now().Sub(h.switchStartedAt) - time.Duration(h.plannedCopies)*h.lease.Engine.CopyTime
+	h.switchTime += time.Duration(switchTimeWeight * float64(max(sample, 0)-h.switchTime))
 }
 
-// tellChange tells who asked for it that a new map is in use.
 func (h *Holder) notifyMapChange() {
 	if h.lease.OnMapChange == nil {
 		return
--- a/internal/experts/policy.go
+++ b/internal/experts/policy.go
@@ -4,29 +4,29 @@
 	"time"
 )
 
-// Policy are the weights and paces of a holder.
+// Policy holds the tuning parameters of a holder.
 type Policy struct {
-	// ObservePace is the time between two looks at all ranks. Passes of loaded groups took
-	// 50 to 110 ms: looks each 75 ms see a jump of demand in the first or second pass after
-	// it.
+	// ObserveInterval is the time between two observations of all ranks. It is
+	// about the time of one pass of a loaded group.
 	ObserveInterval time.Duration
-	// HalfLife is the time in which the estimate of demand forgets half.
+	// HalfLife is the half-life of the demand estimate.
 	HalfLife time.Duration
-	// PassPart is the part of the longest pause between events that a pass's own work
-	// may take: prompts that are read make it longer. It gives the skew, the slowest
-	// rank's time over the mean, from which on a new map is planned.
+	// PassFraction is the fraction of Lease.MaxEventGap that a pass may take; the
+	// rest is for the prefill of prompts. It determines the skew, the slowest rank's
+	// time over the mean, that triggers a new map.
 	PassFraction float64
-	// TargetPart says how far a plan goes: 0 to a skew of 1, 1 not beyond the trigger.
+	// TargetFraction is the fraction of the triggering excess skew that a plan may
+	// leave: 0 aims at a skew of 1, 1 at the trigger.
 	TargetFraction float64
-	// LeastTrigger and MostTrigger bound the trigger.
+	// MinTrigger and MaxTrigger bound the trigger.
 	MinTrigger, MaxTrigger float64
-	// MovePrice is what loading one expert has to gain, in per cent of a set's time.
+	// MoveCost is the gain required for loading one expert, in percent of a set's time.
 	MoveCost float64
-	// Pinned keeps the map in use, whatever the demand.
+	// Pinned keeps the map in use regardless of demand.
 	Pinned bool
 }
 
-// DefaultPolicy is what holders go by; docs/decisions, 0007 and 0008, say why.
+// DefaultPolicy is the default policy; see docs/decisions, 0007 and 0008.
 var DefaultPolicy = Policy{
 	ObserveInterval: 75 * time.Millisecond,
 	HalfLife:        500 * time.Millisecond,
@@ -37,25 +37,25 @@
 	MoveCost:        1.0,
 }
 
-// trigger is the skew from which on a new map pays: the busier the ranks, the
-// longer a pass is without any skew, and the less of it fits.
+// skewTrigger returns the skew that triggers a new map. The busier the ranks, the
+// longer a balanced pass takes, and the less skew fits into MaxEventGap.
 func (h *Holder) skewTrigger() float64 {
 	policy, e := h.policy(), h.lease.Engine
 	if e.Step <= 0 || h.lease.MaxEventGap <= 0 {
-		return policy.MinTrigger // nothing tells how long a pass may last
+		return policy.MinTrigger // the pass time can't be bounded
 	}
 	busiest := 0
 	for _, r := range h.state.reports {
 		busiest = max(busiest, r.Running)
 	}
 	step := e.Step + time.Duration(busiest)*e.StepPerRequest
-	even := float64(e.Stride) * step.Seconds()
-	room := policy.PassFraction * h.lease.MaxEventGap.Seconds() / even
-	skew := (room - (1 - e.ExpertShare)) / max(e.ExpertShare, minExpertShare)
+	balanced := float64(e.Stride) * step.Seconds()
+	budget := policy.PassFraction * h.lease.MaxEventGap.Seconds() / balanced
+	skew := (budget - (1 - e.ExpertShare)) / max(e.ExpertShare, minExpertShare)
 	return min(max(skew, policy.MinTrigger), policy.MaxTrigger)
 }
 
-// speeds are the ranks' speeds relative to a healthy one's.
+// speeds returns the speeds of the ranks relative to a healthy one.
 func (h *Holder) speeds() []float64 {
 	speeds := make([]float64, h.shape.Ranks)
 	for rank := range speeds {
--- a/internal/experts/results.go
+++ b/internal/experts/results.go
@@ -4,7 +4,7 @@
 	"time"
 )
 
-// Verdict takes in what a rank's engine said to an order.
+// HandleResult updates the state with the result of a command to a rank.
 func (s *MapSwitch) HandleResult(now time.Time, rank int, command Command, result Result) {
 	if result == Fenced {
 		s.fenced = true
@@ -37,7 +37,7 @@
 	}
 }
 
-// current tells whether a rank's order belongs to the present stage.
+// isCurrent reports whether a command belongs to the current stage.
 func (s *MapSwitch) isCurrent(rank int, command Command) bool {
 	if command.Epoch != s.epoch {
 		return false
@@ -62,8 +62,8 @@
 	return false
 }
 
-// prepared notes that a rank copies the experts. A rank that refuses can't be
-// brought to this map; nothing is armed, so the switch is given up.
+// handlePrepareResult records that a rank copies the experts. A refusal aborts the
+// switch: nothing is armed yet.
 func (s *MapSwitch) handlePrepareResult(rank int, result Result) {
 	if result == Accepted || s.reports[rank].Prepared == s.version {
 		s.confirmed[rank] = true
@@ -72,7 +72,8 @@
 	s.enter(StageIdle)
 }
 
-// held notes the answer to a hold. A pass that has begun can't be held.
+// handleHoldResult starts arming after a hold was placed. A pass that has already
+// begun can't be held, so a later one is attempted.
 func (s *MapSwitch) handleHoldResult(result Result) {
 	if result == Accepted {
 		s.enter(StageArm)
@@ -86,8 +87,8 @@
 	s.pass = max(s.pass+1+s.extraPasses, s.newestPass()+1)
 }
 
-// armed notes that a rank switches at the pass. A refusal is tried again: the
-// pass is held, and other ranks may be armed.
+// handleArmResult records that a rank will switch at the pass. A refused Arm is
+// repeated: the pass is held, and other ranks may be armed.
 func (s *MapSwitch) handleArmResult(rank int, result Result) {
 	if result != Accepted {
 		return
@@ -106,7 +107,7 @@
 	s.enter(StageSettle)
 }
 
-// Abandon gives up a switch of which nothing is armed or held.
+// Abort ends a switch of which nothing is armed or held.
 func (s *MapSwitch) Abort() {
 	if s.stage == StagePrepare {
 		s.enter(StageIdle)
--- a/internal/experts/stage.go
+++ b/internal/experts/stage.go
@@ -1,30 +1,30 @@
 package experts
 
-// Stage is how far a switch to a new map has come.
+// Stage is the stage of a map switch.
 type Stage int
 
-// The stages, in order.
+// Stages, in order.
 const (
-	// StageIdle has no switch under way.
+	// StageIdle means that no switch is in progress.
 	StageIdle Stage = iota
 	// StagePrepare waits until every rank has copied the experts of the new map.
 	StagePrepare
-	// StageHold waits until one rank keeps the pass of the switch from beginning.
+	// StageHold waits until one rank holds the pass of the switch.
 	StageHold
-	// StageArm waits until every rank has confirmed that it switches at that pass.
+	// StageArm waits until every rank has confirmed the switch at that pass.
 	StageArm
-	// StageRelease waits until the pass may begin.
+	// StageRelease waits until the hold is released.
 	StageRelease
 	// StageSettle waits until every rank reports the new map.
 	StageSettle
-	// StageUndo takes back what an earlier holder armed, before a release.
+	// StageUndo disarms what the former holder armed, before a release.
 	StageUndo
-	// StageBurn prepares a version that is never used, so that an Arm of the former
-	// holder that is carried out late finds its version no longer prepared.
+	// StageBurn prepares a version that is never used, so that a delayed Arm of the
+	// former holder fails: its version is no longer the prepared one.
 	StageBurn
 )
 
-// String names the stage for logs.
+// String returns the name used in logs.
 func (s Stage) String() string {
 	return [...]string{"idle", "prepare", "hold", "arm", "release", "settle", "undo", "burn"}[s]
 }
--- a/internal/experts/switch.go
+++ b/internal/experts/switch.go
@@ -4,44 +4,46 @@
 
 const (
 	// passMargin is how many passes ahead of the newest reported one the first hold
-	// is tried. Reports lag by a few passes; a refused hold is tried one pass later.
+	// is attempted, since reports lag.
 	passMargin = 2
-	// mostExtra bounds the passes that are added to that while orders stay
-	// unanswered: a held pass makes every stream late, a later switch only some.
+	// maxExtraPasses bounds the passes added to passMargin after commands timed
+	// out. A held pass delays every stream; a later switch costs less.
 	maxExtraPasses = 4
-	// mostLead bounds the passes that arming all ranks is planned to take.
+	// maxLeadPasses bounds the number of passes planned for arming.
 	maxLeadPasses = 8
-	// holdTries bounds the passes that are tried before a switch is given up. Nothing
-	// is armed by then, so giving up is harmless.
+	// maxHoldAttempts bounds the passes that are attempted before the switch is
+	// aborted. Nothing is armed by then.
 	maxHoldAttempts = 40
-	// reportLag is how old an engine's report of itself may be.
+	// maxReportAge bounds the age of an engine's report of its state.
 	maxReportAge = 300 * time.Millisecond
-	// staleHold is how long after a release a reported hold of the same pass counts
-	// as a second one, by an order that was carried out late.
+	// releaseGrace is how long after a release reports may still show the hold. A
+	// hold that is reported later was placed by a delayed command.
 	releaseGrace = time.Second
 )
 
-// Switch is the protocol by which one holder of a group's lease changes the
-// map. It is a pure state machine: reports and verdicts go in, orders come out.
+// MapSwitch implements the protocol by which the holder of a group's lease
+// changes the map. It is a pure state machine: reports and results go in,
+// commands come out.
 //
-// Invariant: between the first Arm of a pass and the confirmed Arm of the last
-// rank, one rank holds that pass. So the pass begins with all ranks armed, or
-// with none. A holder never gives up a pass of its own once it has sent an Arm:
-// an order without an answer may be carried out later, so Arm is repeated until
-// every rank has confirmed it, or the group forms anew.
+// Invariant: from the first Arm of a pass until all ranks have confirmed it, one
+// rank holds that pass. So the pass begins with all ranks armed or with none. A
+// holder never abandons its own pass once it has sent an Arm: a command without
+// response may be executed later, so Arm is repeated until every rank has
+// confirmed it or the group is formed again.
 //
-// The holder's own rank is armed last, and another rank has the hold (ownLast).
-// So when the VM of a holder stops, its successor can release the hold, and as
-// long as any rank isn't armed, it knows that the silent one isn't either.
+// The holder's own rank is armed last, and another rank has the hold; see
+// nextArmBatch. So if the holder's VM stops, its successor can release the hold,
+// and while any reachable rank is unarmed, the unreachable one is unarmed, too.
 type MapSwitch struct {
 	fence   int64
 	ownRank int
 	size    int
-	// trustFrom is when reports are recent enough to show what an earlier holder did.
+	// trustFrom is when reports are recent enough to include all effects of the
+	// former holder's commands.
 	trustFrom time.Time
 
-	// formerRank is the rank of the holder before this one, or -1. missed are the
-	// ranks that couldn't be reached since their last report.
+	// formerRank is the rank of the previous holder, or -1. unreachable marks ranks
+	// that couldn't be reached since their last report.
 	formerRank  int
 	unreachable []bool
 
@@ -51,11 +53,12 @@
 	pass             int64
 	holdRank         int
 	holdAttemptsLeft int
-	// extra passes are added to the margin; unanswered counts the orders of this
-	// switch that had no answer. lead is how many passes it takes to arm all ranks.
+	// extraPasses are added to passMargin. timeouts is the number of Arm and Hold
+	// commands of this switch without response. leadPasses is how many passes it
+	// takes to arm all ranks.
 	extraPasses, timeouts, leadPasses int64
 	newMap                            [][][]int
-	// present is the map in use, as far as it is known.
+	// currentMap is the map in use, as far as it is known.
 	currentMap [][][]int
 	confirmed  []bool
 	reports    []RankReport
@@ -63,14 +66,14 @@
 	// lastVersion is the highest version seen in this epoch.
 	lastVersion int64
 	releasedAt  time.Time
-	// strays are passes that ranks hold without this switch: orders that were carried
-	// out late. 0 means none.
+	// strayHolds are the passes, by rank, held by a delayed command rather than by
+	// this switch, or 0.
 	strayHolds []int64
 	fenced     bool
 }
 
-// NewSwitch returns the protocol's state of a new holder whose own rank is
-// ownRank, in a group of a size. formerRank is that of the holder before it, or -1.
+// NewMapSwitch returns the initial state for a new holder on ownRank in a group
+// of the given size. formerRank is the rank of the previous holder, or -1.
 func NewMapSwitch(now time.Time, fence int64, ownRank, formerRank, size int) *MapSwitch {
 	return &MapSwitch{
 		fence: fence, ownRank: ownRank, formerRank: formerRank, size: size, trustFrom: now.Add(maxReportAge),
@@ -80,19 +83,20 @@
 	}
 }
 
-// Stage returns how far the present switch has come.
+// Stage returns the stage of the current switch.
 func (s *MapSwitch) Stage() Stage { return s.stage }
 
-// Fenced tells whether an engine has seen a higher fence: this holder must stop.
+// Fenced reports whether an engine or agent has seen a higher fencing token.
+// The holder must stop then.
 func (s *MapSwitch) Fenced() bool { return s.fenced }
 
-// Version returns the version of the present switch, or of the last one.
+// Version returns the version of the current or last switch.
 func (s *MapSwitch) Version() int64 { return s.version }
 
-// Epoch returns the group's epoch.
+// Epoch returns the epoch of the group.
 func (s *MapSwitch) Epoch() int64 { return s.epoch }
 
-// Report takes in a rank's state.
+// HandleReport updates the state with the report of a rank.
 func (s *MapSwitch) HandleReport(now time.Time, rank int, r RankReport) {
 	if rank < 0 || rank >= s.size || r.Epoch < s.epoch {
 		return
@@ -106,14 +110,14 @@
 	s.advance(now)
 }
 
-// Missed notes that a rank couldn't be reached.
+// MarkUnreachable records that a rank couldn't be reached.
 func (s *MapSwitch) MarkUnreachable(now time.Time, rank int) {
 	s.unreachable[rank] = !now.Before(s.trustFrom)
 	s.advance(now)
 }
 
-// startEpoch forgets everything: a group that forms anew has the default map
-// and nothing prepared, armed or held.
+// startEpoch resets the state. A newly formed group uses the default map and has
+// nothing prepared, armed or held.
 func (s *MapSwitch) startEpoch(epoch int64) {
 	s.epoch, s.stage = epoch, StageIdle
 	s.version, s.pass, s.lastVersion = 0, 0, 0
@@ -124,7 +128,7 @@
 	}
 }
 
-// complete tells whether every rank has reported recently enough to be trusted.
+// allReported reports whether every rank has reported since trustFrom.
 func (s *MapSwitch) allReported() bool {
 	for rank := range s.size {
 		if s.reportedAt[rank].IsZero() || s.reportedAt[rank].Before(s.trustFrom) {
@@ -134,8 +138,8 @@
 	return true
 }
 
-// Ready tells whether a new switch may begin: the group is open, and all ranks
-// use one map with nothing armed or held.
+// Ready reports whether a switch may start: the group is open, and all ranks
+// use the same map with nothing armed or held.
 func (s *MapSwitch) Ready() bool {
 	if s.stage != StageIdle || s.fenced || !s.allReported() {
 		return false
@@ -148,7 +152,7 @@
 	return true
 }
 
-// Begin starts the switch to a map, given as the experts by set and rank.
+// Start begins the switch to a map, given as experts by set and rank.
 func (s *MapSwitch) Start(lists [][][]int) {
 	s.newMap = lists
 	s.version = s.lastVersion + 1
@@ -158,8 +162,7 @@
 	s.enter(StagePrepare)
 }
 
-// SetLead tells how many passes it takes to arm all ranks, so that the next
-// switch holds a pass that is far enough ahead.
+// SetArmingPasses sets how many passes it takes to arm all ranks.
 func (s *MapSwitch) SetArmingPasses(passes int64) { s.leadPasses = min(passes, maxLeadPasses) }
 
 func (s *MapSwitch) enter(stage Stage) {
@@ -169,7 +172,7 @@
 	}
 }
 
-// advance moves on when the reports allow it.
+// advance enters the next stage when the reports allow it.
 func (s *MapSwitch) advance(now time.Time) {
 	switch s.stage {
 	case StageIdle:
@@ -189,7 +192,7 @@
 			s.enter(StageIdle)
 		}
 	case StageArm:
-		// The pass has begun: a former holder had armed all ranks and released it.
+		// The pass began, so the former holder armed all ranks and released it.
 		if s.newestPass() >= s.pass {
 			s.enter(StageSettle)
 		}
--- a/internal/experts/takeover.go
+++ b/internal/experts/takeover.go
@@ -4,8 +4,8 @@
 	"time"
 )
 
-// resolveHold finds a hold that nobody is going to release: of a holder that
-// died, or of an order that was carried out late.
+// resolveHold finds a hold without an owner, placed by a former holder or by a
+// delayed command, and completes or undoes the switch that it belongs to.
 func (s *MapSwitch) resolveHold(now time.Time) {
 	rank := s.heldRank(now)
 	if rank < 0 {
@@ -32,8 +32,8 @@
 	return -1
 }
 
-// formerHolderSilent tells whether every rank has reported but that of the
-// former holder, which can't be reached.
+// onlyFormerHolderMissing reports whether all ranks have reported except that of
+// the former holder, which is unreachable.
 func (s *MapSwitch) onlyFormerHolderMissing() bool {
 	for rank := range s.size {
 		known := !s.reportedAt[rank].IsZero() && !s.reportedAt[rank].Before(s.trustFrom)
@@ -48,8 +48,8 @@
 	return s.formerRank >= 0
 }
 
-// someUnarmed tells whether a rank that reports isn't armed. Then the former
-// holder's own rank isn't either, and it can't have released the hold.
+// anyUnarmed reports whether a reachable rank is unarmed. The former holder's own
+// rank is unarmed then, too, and the hold can't have been released.
 func (s *MapSwitch) anyUnarmed() bool {
 	for rank, r := range s.reports {
 		if rank != s.formerRank && r.Armed == 0 {
@@ -63,8 +63,9 @@
 	return pass == s.pass && now.Sub(s.releasedAt) < releaseGrace
 }
 
-// stray returns a held pass that this switch doesn't hold or has released. While
-// idle, resolveHold looks at it instead: an earlier holder may have armed ranks.
+// strayHold returns the held pass if it doesn't belong to this switch, else 0. While
+// idle it returns 0, and resolveHold handles the hold: a former holder may have
+// armed ranks.
 func (s *MapSwitch) strayHold(now time.Time, rank int, held int64) int64 {
 	own := held == s.pass && rank == s.holdRank && s.stage != StageSettle
 	if held == 0 || s.stage == StageIdle || own || s.recentlyReleased(now, held) {
@@ -73,10 +74,9 @@
 	return held
 }
 
-// finish completes a switch that an earlier holder began. A hold is placed only
-// when every rank has prepared the map, and Arm may have been sent to any of
-// them since, so all are armed before the release: undoing could meet an Arm
-// that is carried out late.
+// completeSwitch completes a switch that a former holder began. A hold is placed only
+// after every rank has prepared the map, and any rank may have been sent an Arm since.
+// So all ranks are armed before the release; a delayed Arm could defeat an undo.
 func (s *MapSwitch) completeSwitch() {
 	prepared := s.reports[0].Prepared
 	if prepared > s.reports[0].Map && s.all(func(r RankReport) bool { return r.Prepared == prepared }) {
@@ -88,7 +88,7 @@
 	s.enter(StageRelease)
 }
 
-// disarmed notes that a rank isn't armed. A refusal says the same.
+// handleDisarmResult records that a rank is unarmed, which a refusal confirms, too.
 func (s *MapSwitch) handleDisarmResult(rank int) {
 	if s.confirm(rank) {
 		s.version = s.lastVersion + 1
@@ -97,8 +97,8 @@
 	}
 }
 
-// burned notes what a rank said to the version that is never used. A refusal
-// means that an Arm was carried out late, or that the rank has had the version.
+// handleBurnResult records the result of preparing the unused version. A refusal means
+// that a delayed Arm was executed, or that the rank already had the version.
 func (s *MapSwitch) handleBurnResult(rank int, result Result) {
 	if result != Accepted {
 		s.enter(StageUndo)
@@ -110,8 +110,8 @@
 	}
 }
 
-// confirmReachable notes a rank's confirmation. It tells whether all but the
-// former holder's have confirmed.
+// confirm records the confirmation of a rank. It reports whether all ranks except
+// the former holder's have confirmed.
 func (s *MapSwitch) confirm(rank int) bool {
 	s.confirmed[rank] = true
 	for other, confirmed := range s.confirmed {
@@ -122,5 +122,5 @@
 	return true
 }
 
-// SetPresent tells the map in use, as far as it is known.
+// SetCurrentMap sets the map in use, as far as it is known.
 func (s *MapSwitch) SetCurrentMap(lists [][][]int) { s.currentMap = lists }
--- a/internal/experts/timing.go
+++ b/internal/experts/timing.go
@@ -6,34 +6,34 @@
 )
 
 const (
-	// passWeight is the weight of the newest measured pass time.
+	// passTimeWeight is the weight of the newest sample in the moving average.
 	passTimeWeight = 0.2
-	// worthLead is the part of a pass from which on arming is worth a lead: below it,
-	// the pass is hardly ever held. leadSpare is added to what the last arming took.
+	// minLeadFraction is the fraction of a pass that arming must take before the
+	// switch is scheduled further ahead. leadMargin is added to the lead.
 	minLeadFraction = 0.5
 	leadMargin      = 1
-	// ranksPerLead is how many ranks make one pass of lead until an arming has been
-	// measured.
+	// ranksPerLeadPass estimates the lead from the group's size until an arming
+	// has been timed.
 	ranksPerLeadPass = 24
 )
 
-// timePasses follows how long a pass takes.
+// updatePassTime updates the moving average of the time that a pass takes.
 func (h *Holder) updatePassTime() {
 	newest, now := h.state.newestPass(), h.now()
 	if passes := newest - h.lastPass; passes > 0 && h.lastPass > 0 {
-		took := now.Sub(h.lastPassAt) / time.Duration(passes)
+		sample := now.Sub(h.lastPassAt) / time.Duration(passes)
 		if h.passTime == 0 {
-			h.passTime = took
+			h.passTime = sample
 		}
-		h.passTime += time.Duration(passTimeWeight * float64(took-h.passTime))
+		h.passTime += time.Duration(passTimeWeight * float64(sample-h.passTime))
 	}
 	if newest != h.lastPass {
 		h.lastPass, h.lastPassAt = newest, now
 	}
 }
 
-// timeArming measures how long it takes to arm all ranks: a pass that is held
-// for longer than it would have taken to come makes every stream late.
+// updateArmingPasses times the arming of all ranks and sets the lead of the next
+// switch. A lead that is too short holds a pass and delays every stream.
 func (h *Holder) updateArmingPasses(before Stage) {
 	now := h.now()
 	switch {
@@ -45,7 +45,8 @@
 	}
 }
 
-// lead is how many passes ahead a pass must be held when arming takes a time.
+// leadPasses returns how many passes ahead a pass must be held, given the time
+// that arming takes.
 func leadPasses(arming, pass time.Duration) int64 {
 	passes := float64(arming) / float64(pass)
 	if passes < minLeadFraction {
@@ -54,7 +55,7 @@
 	return int64(math.Ceil(passes)) + leadMargin
 }
 
-// pace is the time between two looks at all ranks.
+// pollInterval returns the time between two observations of all ranks.
 func (h *Holder) pollInterval() time.Duration {
 	interval := h.policy().ObserveInterval
 	if h.state.Stage() != StageIdle {
@@ -63,15 +64,15 @@
 	return max(interval, time.Duration(h.shape.Ranks)*pollIntervalPerRank)
 }
 
-// windows is into how many parts the sets are divided, so that the counts of one
-// part fit into an answer.
+// countWindows returns the number of parts that the sets are divided into, so
+// that the counts of one part fit into a datagram.
 func (h *Holder) countWindows() int {
 	setsPerWindow := max(countsPerQuery/h.shape.Experts, 1)
 	return (h.shape.Layers + setsPerWindow - 1) / setsPerWindow
 }
 
-// window returns which counts a rank is asked for this time: the ranks tell
-// different parts, and each the next part at the next time.
+// countWindow returns the range of counts to query from a rank in this round. The
+// ranks report different parts, and each rank the next part in the next round.
 func (h *Holder) countWindow(rank int) (from, to int) {
 	windows := h.countWindows()
 	index := (rank + h.countRound) % windows
@@ -79,8 +80,8 @@
 	return from * h.shape.Experts, to * h.shape.Experts
 }
 
-// countsDue tells whether counts may be asked for again: those of large groups
-// would fill the holder's link.
+// beginCountRound reports whether counts may be queried now, and begins a round if
+// so. Rounds are spaced to keep the counts within CountsBandwidth.
 func (h *Holder) beginCountRound() bool {
 	bytes := bytesPerCount * float64(h.shape.Ranks*h.shape.Layers*h.shape.Experts) / float64(h.countWindows())
 	interval := time.Duration(bytes / max(h.ranks.CountsBandwidth(), 1) * float64(time.Second))
@@ -92,7 +93,7 @@
 	return true
 }
 
-// patience is a timeout that grows with the ranks that are called at once.
+// scaledTimeout returns a timeout that grows with the number of ranks called at once.
 func (h *Holder) scaledTimeout(base, perRank time.Duration) time.Duration {
 	return base + time.Duration(h.shape.Ranks)*perRank
 }
--- a/internal/experts/types.go
+++ b/internal/experts/types.go
@@ -1,53 +1,52 @@
-// Package experts keeps the expert maps of a group in step with demand. All
-// ranks of a group run each pass together, and the engines don't compare their
-// maps: this package makes sure that no pass begins with two of them.
+// Package experts adapts a group's expert map to demand. All ranks of a group
+// run each forward pass together, but engines don't compare their maps. The
+// protocol in this package guarantees that no pass begins with two maps.
 package experts
 
-// RankReport is the state of one rank's engine, as it tells it.
+// RankReport is the state that the engine of one rank reports.
 type RankReport struct {
 	Group string
 	Epoch int64
 	Rank  int
 	Size  int
-	// Open is false while the group can't run.
+	// Open reports whether the group can run.
 	Open bool
-	// Pass is the pass begun last. An idle group makes no passes.
+	// Pass is the last pass that began. An idle group runs no passes.
 	Pass int64
-	// Map is the version in use; Prepared the newest whose experts are all copied;
-	// Armed the version that a coming pass will switch to, or 0; Held the pass that
-	// may not begin yet, or 0.
+	// Map is the version in use. Prepared is the newest version whose experts are
+	// all copied. Armed is the version that a coming pass switches to, or 0. Held
+	// is the pass that is kept from beginning, or 0.
 	Map, Prepared, Armed, Held int64
-	// Queued and Running count the rank's requests.
+	// Queued and Running are numbers of requests.
 	Queued, Running int
-	// Pace over 1 means that the rank is slower than usual.
+	// Slowdown above 1 means that the rank is slower than usual.
 	Slowdown float64
-	// Born tells the engine's starts apart; 0 where it doesn't tell.
+	// StartID differs between starts of the engine; 0 if the engine reports none.
 	StartID int64
 }
 
-// Counts says how often a rank's requests chose each expert.
+// Counts holds how often the requests of a rank selected each expert.
 type Counts struct {
 	Pass  int64
 	Epoch int64
-	// Born tells the engine's starts apart, each of which counts from 0.
+	// StartID differs between starts of the engine. Each start counts from 0.
 	StartID int64
-	// Chosen is ordered by set, then by expert, and begins with the place From: since
-	// the rank's start as the engine tells it, since the holder's last look as the
-	// agent does.
+	// Chosen is ordered by set, then by expert, beginning at index Offset. Engines
+	// count from their start, agents from the holder's previous query.
 	Chosen []float64
 	Offset int
 }
 
-// Operation is what an order asks an engine to do.
+// Operation is the kind of a Command.
 type Operation int
 
-// The operations.
+// Operations.
 const (
 	// Prepare copies the experts of a new map.
 	Prepare Operation = iota
-	// Arm makes the rank switch to a prepared map as a pass begins.
+	// Arm schedules the switch to a prepared map for the beginning of a pass.
 	Arm
-	// Disarm takes an Arm back.
+	// Disarm cancels an Arm.
 	Disarm
 	// Hold keeps a pass from beginning until a Release.
 	Hold
@@ -55,41 +54,42 @@
 	Release
 )
 
-// String names the operation for logs.
+// String returns the name used in logs.
 func (o Operation) String() string {
 	return [...]string{"prepare", "arm", "disarm", "hold", "release"}[o]
 }
 
-// Order is an order to one rank's engine.
+// Command is an instruction to the engine of one rank.
 type Command struct {
 	Operation Operation
 	Epoch     int64
-	// Version of the map, for Prepare, Arm and Disarm.
+	// Version is the version of the map, for Prepare, Arm and Disarm.
 	Version int64
-	// Pass is where Arm, Hold and Release apply.
+	// Pass is the pass that Arm, Hold and Release apply to.
 	Pass int64
 	// Map lists the experts by set and rank, for Prepare.
 	Map [][][]int
-	// Fence is the lease's number; engines refuse lower ones than they have seen.
+	// Fence is the fencing token of the lease. Engines refuse a lower one than the
+	// highest that they have seen.
 	Fence int64
 }
 
-// Verdict is what an engine said to an order.
+// Result is the outcome of a Command.
 type Result int
 
-// The verdicts.
+// Results.
 const (
-	// Unanswered orders may be carried out, now or seconds later.
+	// NoResponse means that the command may still be executed, even seconds later.
 	NoResponse Result = iota
-	// Accepted orders have begun or are done.
+	// Accepted means that the command has been executed or has begun.
 	Accepted
-	// Refused orders don't fit the engine's state.
+	// Refused means that the command doesn't fit the engine's state.
 	Refused
-	// Fenced orders came with an old lease.
+	// Fenced means that the command came with the fencing token of an old lease.
 	Fenced
 )
 
-// String names the verdict for logs.
+// String returns the name used in logs.
 func (r Result) String() string {
 	return [...]string{"unanswered", "accepted", "refused", "fenced"}[r]
 }
