--- a/internal/entry/access_test.go
+++ b/internal/entry/access_test.go
@@ -14,10 +14,10 @@
 	. "github.com/onsi/gomega"
 )
 
-var _ = Describe("callers' access", func() {
-	DescribeTable("answers bad input with a clear 4xx",
+var _ = Describe("request validation and access", func() {
+	DescribeTable("rejects invalid requests with a 4xx that names the cause",
 		func(key, path, body string, headers header, status int, text string) {
-			f := newFixture([]string{fakeAgent(answerWith("ok"))}, []string{fakeAgent(answerWith("ok"))})
+			f := newFixture([]string{fakeAgent(respondWith("ok"))}, []string{fakeAgent(respondWith("ok"))})
 			response, content := f.post(key, path, body, headers)
 			Expect(response.StatusCode).To(Equal(status), content)
 			Expect(failureIn(content).Message).To(ContainSubstring(text))
@@ -37,12 +37,12 @@
 		Entry("body too large", keyOfRozsa, "/dispatch/x", strings.Repeat("x", 2<<20), nil, 413, "body size"),
 	)
 
-	It("answers what isn't HTTP with a 4xx", func() {
+	It("rejects malformed HTTP with a 400", func() {
 		f := newFixture(nil, nil)
 		Expect(f.send("\x00\x01\x02 nonsense\r\n\r\n")).To(ContainSubstring(" 400 "))
 	})
 
-	It("gets a 503 and a time to come back from an entry that has no configuration yet", func() {
+	It("returns 503 with Retry-After before a configuration is known", func() {
 		f := newEmptyFixture()
 		response, content := f.post(keyOfRozsa, "/v1/chat/completions", completion, nil)
 		Expect(response.StatusCode).To(Equal(http.StatusServiceUnavailable))
@@ -50,7 +50,7 @@
 		Expect(failureIn(content).Outcome).To(Equal("not-run"))
 	})
 
-	It("is bounded in connections served at once", func() {
+	It("returns 503 when the connection limit is reached", func() {
 		f := serveEntryFor(replica.New(time.Now), 1)
 		first, err := net.Dial("tcp", f.address)
 		Expect(err).NotTo(HaveOccurred())
@@ -60,28 +60,28 @@
 		Eventually(func() string { return f.send("GET / HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n") }, "5s").Should(ContainSubstring("503"))
 	})
 
-	It("hides one customer's requests from another", func() {
+	It("doesn't let a customer cancel another customer's request", func() {
 		release := make(chan struct{})
 		arrived := make(chan string, 1)
 		agent := fakeAgent(func(w http.ResponseWriter, r *http.Request) {
 			arrived <- r.Header.Get(wire.HeaderRequestID)
 			<-release
-			answerWith("mine")(w, r)
+			respondWith("mine")(w, r)
 		})
 		f := newFixture([]string{agent}, nil)
-		got := make(chan string, 1)
+		responses := make(chan string, 1)
 		go func() {
 			defer GinkgoRecover()
 			_, body := f.post(keyOfRozsa, "/v1/chat/completions", completion, nil)
-			got <- body
+			responses <- body
 		}()
 		id := <-arrived
 		Expect(f.cancel(keyOfTulipan, id)).To(Equal(http.StatusNotFound))
 		close(release)
-		Eventually(got, "5s").Should(Receive(Equal("mine")))
+		Eventually(responses, "5s").Should(Receive(Equal("mine")))
 	})
 
-	It("lets a customer cancel its own request", func() {
+	It("cancels a request for the customer that sent it", func() {
 		arrived := make(chan string, 1)
 		agent := fakeAgent(func(_ http.ResponseWriter, r *http.Request) {
 			_, _ = io.Copy(io.Discard, r.Body)
@@ -89,25 +89,25 @@
 			<-r.Context().Done()
 		})
 		f := newFixture([]string{agent}, nil)
-		got := make(chan string, 1)
+		responses := make(chan string, 1)
 		go func() {
 			defer GinkgoRecover()
 			_, body := f.post(keyOfRozsa, "/v1/chat/completions", completion, nil)
-			got <- body
+			responses <- body
 		}()
 		Expect(f.cancel(keyOfRozsa, <-arrived)).To(Equal(http.StatusAccepted))
 		var body string
-		Eventually(got, "5s").Should(Receive(&body))
+		Eventually(responses, "5s").Should(Receive(&body))
 		Expect(failureIn(body).Code).To(Equal("canceled"))
 	})
 
-	It("bounds a customer's requests in flight", func() {
+	It("returns 429 when a customer has too many requests in flight", func() {
 		release := make(chan struct{})
 		arrived := make(chan struct{}, 8)
 		agent := fakeAgent(func(w http.ResponseWriter, r *http.Request) {
 			arrived <- struct{}{}
 			<-release
-			answerWith("ok")(w, r)
+			respondWith("ok")(w, r)
 		})
 		f := newFixture([]string{agent}, nil)
 		for range 4 {
@@ -125,18 +125,18 @@
 		Eventually(func() int64 { return f.entry.OutcomeCounts().InFlight }, "5s").Should(BeZero())
 	})
 
-	It("passes a plain service's path, headers and body through untouched, but for the API key", func() {
-		seen := make(chan *http.Request, 1)
+	It("forwards path, headers and body to a plain service unchanged, except the API key", func() {
+		requests := make(chan *http.Request, 1)
 		bodies := make(chan string, 1)
 		agent := fakeAgent(func(w http.ResponseWriter, r *http.Request) {
 			content, _ := io.ReadAll(r.Body)
 			bodies <- string(content)
-			seen <- r.Clone(context.Background())
-			answerWith("ok")(w, r)
+			requests <- r.Clone(context.Background())
+			respondWith("ok")(w, r)
 		})
 		f := newFixture(nil, []string{agent})
 		f.post(keyOfRozsa, "/dispatch/a%20b?c=d", "\x00raw\xff", header{"X-Own": "v"})
-		r := <-seen
+		r := <-requests
 		Expect(r.RequestURI).To(Equal("/dispatch/a%20b?c=d"))
 		Expect(r.Header.Get("X-Own")).To(Equal("v"))
 		Expect(r.Header.Get("Authorization")).To(BeEmpty())
--- a/internal/entry/admin.go
+++ b/internal/entry/admin.go
@@ -19,11 +19,11 @@
 	var list []*rpc.ServerStatus
 	for name, row := range e.table.Rows() {
 		state := row.Health.String()
-		switch bar := row.Notice.Exclusion(now); {
+		switch exclusion := row.Notice.Exclusion(now); {
 		case row.Server.Spec.Draining:
 			state = "draining"
-		case bar != nil:
-			state = string(bar.Reason)
+		case exclusion != nil:
+			state = string(exclusion.Reason)
 		}
 		age := int64(-1)
 		if !row.ReportedAt.IsZero() {
@@ -39,43 +39,43 @@
 
 // Explain implements admin.Host.
 func (e *Entry) Explain(customerName, model, path string) (string, map[string]string, error) {
-	index := e.index.Load().index
+	index := e.snapshot.Load().index
 	customer := index.Customer(customerName)
 	if customer == nil {
-		return "", nil, errors.Errorf("customer %s doesn't exist", customerName)
+		return "", nil, errors.Errorf("customer %q doesn't exist", customerName)
 	}
 	route := index.RouteForModel(customer, model, e.now())
 	if path != "" {
 		route = index.RouteForPath(customer, path, e.now())
 	}
 	if route == nil {
-		return "", nil, errors.New("no route of this customer serves that model or path now")
+		return "", nil, errors.New("the customer has no active route for this model or path")
 	}
 	reasons := index.Explain(route)
 	for name, reason := range reasons {
 		if reason == "" {
-			reasons[name] = e.health(name)
+			reasons[name] = e.ineligibleReason(name)
 		}
 	}
 	return route.Name, reasons, nil
 }
 
-// health returns why a server takes no requests now, or "".
-func (e *Entry) health(name string) string {
+// ineligibleReason returns why a server gets no requests now, or "".
+func (e *Entry) ineligibleReason(name string) string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	row := e.table.Row(name)
 	if row == nil {
-		return "not known here yet"
+		return "not in the routing table yet"
 	}
-	bar := row.Notice.Exclusion(e.now())
+	exclusion := row.Notice.Exclusion(e.now())
 	switch {
 	case e.picker.Eligible(e.now(), row):
 		return ""
-	case bar != nil:
-		return bar.String()
+	case exclusion != nil:
+		return exclusion.String()
 	case row.ListedLeaving:
-		return "the platform's list calls its VM leaving"
+		return "the platform's VM list shows the VM as leaving"
 	default:
 		return row.Health.String()
 	}
--- a/internal/entry/backend.go
+++ b/internal/entry/backend.go
@@ -15,8 +15,8 @@
 	"github.com/pkg/errors"
 )
 
-// agentBackend carries attempts to servers by way of their agents, whose word on
-// outcomes it passes on. It implements dispatch.Backend.
+// agentBackend sends attempts to servers through their agents, which report the outcome.
+// It implements dispatch.Backend.
 type agentBackend struct{ entry *Entry }
 
 // Send implements dispatch.Backend.
@@ -26,8 +26,8 @@
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
 		GotConn: func(httptrace.GotConnInfo) { connected.Store(true) },
 	})
-	ctx, permission := upstream.WithSendCheck(ctx, a.SendCheck)
-	out, err := http.NewRequestWithContext(ctx, r.Method, "http://"+a.Server.Address+r.URI, onceBody(r.Body))
+	ctx, check := upstream.WithSendCheck(ctx, a.SendCheck)
+	out, err := http.NewRequestWithContext(ctx, r.Method, "http://"+a.Server.Address+r.URI, nonRewindableBody(r.Body))
 	if err != nil {
 		return nil, &dispatch.SendError{Err: err}
 	}
@@ -42,22 +42,22 @@
 		out.Header.Set(wire.HeaderLastEventID, strconv.FormatInt(a.ResumeAfter, 10))
 	}
 	response, err := e.client.Do(out)
-	if refused := permission.Err(); err != nil && refused != nil {
-		return nil, &dispatch.SendError{Err: errors.Wrap(refused, a.Server.ID)}
+	if checkErr := check.Err(); err != nil && checkErr != nil {
+		return nil, &dispatch.SendError{Err: errors.Wrap(checkErr, a.Server.ID)}
 	}
 	if err != nil {
 		return nil, &dispatch.SendError{Sent: connected.Load() && !isDialError(err), Err: errors.Wrap(err, a.Server.ID)}
 	}
-	return e.readReply(r.ID, a.Server.ID, response), nil
+	return e.readResponse(r.ID, a.Server.ID, response), nil
 }
 
-// readReply tells what an agent's answer says.
-func (e *Entry) readReply(requestID, server string, response *http.Response) *dispatch.Response {
+// readResponse converts an agent's response and records the load and failure it carries.
+func (e *Entry) readResponse(requestID, server string, response *http.Response) *dispatch.Response {
 	header := response.Header
-	e.noteLoad(server, header)
+	e.recordLoad(server, header)
 	f := wire.ReadFailure(header, server)
 	if f != nil {
-		e.noteFailure(server, f)
+		e.recordServerFailure(server, f)
 	}
 	return &dispatch.Response{
 		Status: response.StatusCode, Header: header, Length: response.ContentLength, Body: response.Body,
@@ -68,8 +68,8 @@
 	}
 }
 
-// onceBody hides the body's type, so that Go's transport can't rewind it and
-// never sends a request twice by itself.
-func onceBody(body []byte) io.Reader {
+// nonRewindableBody hides the body's type, so that the HTTP transport can't rewind it and
+// never resends a request on its own.
+func nonRewindableBody(body []byte) io.Reader {
 	return io.NopCloser(struct{ io.Reader }{bytes.NewReader(body)})
 }
--- a/internal/entry/chooser.go
+++ b/internal/entry/chooser.go
@@ -14,10 +14,11 @@
 	"github.com/pkg/errors"
 )
 
-// tableChooser chooses by the agents' reports. It implements dispatch.Chooser.
+// tableChooser chooses servers by the routing table, which holds the agents' load reports.
+// It implements dispatch.Chooser.
 type tableChooser struct{ entry *Entry }
 
-// Choose implements dispatch.Chooser: the candidates are those of the request's route.
+// Choose implements dispatch.Chooser. The candidates are those of the request's route.
 func (c tableChooser) Choose(now time.Time, _ []*fleet.Server, r *dispatch.Request, tried []string) dispatch.Choice {
 	e, x := c.entry, exchangeOf(r)
 	e.mu.Lock()
@@ -28,7 +29,7 @@
 		return dispatch.Choice{}
 	}
 	return dispatch.Choice{
-		Server: x.compiled.servers[name], Load: float64(row.Reported.InFlight + row.Reported.Queued + row.SentSinceReport),
+		Server: x.snapshot.servers[name], Load: float64(row.Reported.InFlight + row.Reported.Queued + row.SentSinceReport),
 		LoadAge: now.Sub(row.ReportedAt),
 	}
 }
@@ -37,13 +38,13 @@
 func (c tableChooser) EarliestEligible(now time.Time, _ []*fleet.Server, r *dispatch.Request) time.Duration {
 	c.entry.mu.Lock()
 	defer c.entry.mu.Unlock()
-	var bars eligibility.Exclusions
+	var exclusions eligibility.Exclusions
 	for _, server := range exchangeOf(r).route.Servers {
 		if row := c.entry.table.Row(server.Name); row != nil {
-			bars.Add(row.Notice.Exclusion(now))
+			exclusions.Add(row.Notice.Exclusion(now))
 		}
 	}
-	return bars.EarliestEnd()
+	return exclusions.EarliestEnd()
 }
 
 // ObserveResponse implements dispatch.Chooser.
@@ -54,7 +55,7 @@
 	if row == nil {
 		return 0, false
 	}
-	return row.Notice.RecordRest(info.RetryAfter, now), false // agents tell that they leave in their load
+	return row.Notice.RecordRest(info.RetryAfter, now), false // agents report leaving in their load
 }
 
 // Exclusion implements dispatch.Chooser.
@@ -67,8 +68,8 @@
 	return nil
 }
 
-// AcquireToken implements dispatch.Chooser: a server's limit is kept by its agent, which sees all that
-// reaches it.
+// AcquireToken implements dispatch.Chooser. The agent enforces its server's limit, since
+// all requests to the server pass it.
 func (tableChooser) AcquireToken(string, *dispatch.Request, time.Time) time.Duration { return 0 }
 
 // RequestSent implements dispatch.Chooser.
@@ -78,7 +79,7 @@
 	c.entry.table.RequestSent(server)
 }
 
-// ResponseStarted implements dispatch.Chooser: agents report what runs.
+// ResponseStarted implements dispatch.Chooser. It does nothing: agents report their load.
 func (tableChooser) ResponseStarted(string, *dispatch.Request) {}
 
 // RequestEnded implements dispatch.Chooser.
@@ -88,7 +89,8 @@
 	c.entry.table.RequestEnded(server)
 }
 
-// RecordFailure implements dispatch.Chooser: the agent couldn't be reached, or broke off.
+// RecordFailure implements dispatch.Chooser for an agent that is unreachable or dropped the
+// connection.
 func (c tableChooser) RecordFailure(server string, now time.Time) {
 	c.entry.mu.Lock()
 	defer c.entry.mu.Unlock()
@@ -116,8 +118,8 @@
 	c.entry.budget.Release(customer)
 }
 
-// noteFailure counts what the server behind an agent did wrong.
-func (e *Entry) noteFailure(server string, f *failure.Error) {
+// recordServerFailure counts a failure of the server behind an agent.
+func (e *Entry) recordServerFailure(server string, f *failure.Error) {
 	if f.Code != failure.CodeServerLost {
 		return
 	}
@@ -126,13 +128,13 @@
 	e.table.RecordError(e.now(), server)
 }
 
-func (e *Entry) noteFailed(server string) {
+func (e *Entry) recordUnreachable(server string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.table.RecordUnreachable(e.now(), server)
 }
 
-func (e *Entry) noteLoad(server string, header http.Header) {
+func (e *Entry) recordLoad(server string, header http.Header) {
 	load, ok := wire.ParseLoad(header.Get(wire.HeaderLoad))
 	if !ok {
 		return
@@ -142,7 +144,7 @@
 	e.table.UpdateLoad(e.now(), server, header.Get(wire.HeaderIncarnation), load)
 }
 
-// isDialError tells a connection that was never made.
+// isDialError reports whether the connection was never established.
 func isDialError(err error) bool {
 	var dial *net.OpError
 	return errors.As(err, &dial) && dial.Op == "dial"
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -1,5 +1,5 @@
-// Package entry serves callers: it authenticates, routes, sends each request to
-// a backend server's agent, and answers for its outcome.
+// Package entry implements the entry daemon: it authenticates callers, routes each request
+// to the agent of a backend server and relays the response.
 package entry
 
 import (
@@ -32,24 +32,24 @@
 	Zone string
 	// DaemonKey authenticates daemons to each other.
 	DaemonKey string
-	// MaxBody and MaxAnswer bound a request's and an unstreamed answer's bytes.
+	// MaxBody and MaxResponse bound the bytes of a request body and of a buffered response.
 	MaxBody     int
 	MaxResponse int64
 	// MaxConcurrent bounds the requests in flight.
 	MaxConcurrent int
-	// PollsPerSecond bounds the polling of agents, whatever the fleet's size.
+	// PollsPerSecond bounds the polling of agents regardless of the fleet's size.
 	PollsPerSecond int
 }
 
-// PollInterval is the time between two reports asked of agents.
+// PollInterval returns the time between two polls of agents.
 func (o Options) PollInterval() time.Duration {
 	return time.Second / time.Duration(o.PollsPerSecond)
 }
 
-// Entry is one entry VM's daemon.
+// Entry is the daemon of an entry VM.
 //
-// Lock order: mu is a leaf and guards the routing table, the retry budget, the
-// random source and the counts per customer. Nothing that blocks is done under it.
+// mu is a leaf in the lock order and guards the fields below it. No blocking call is made
+// while it is held.
 type Entry struct {
 	options Options
 	log     *logrus.Entry
@@ -59,7 +59,7 @@
 	control *http.Client
 	server  *fasthttp.Server
 
-	index    atomic.Pointer[compiled]
+	snapshot atomic.Pointer[snapshot]
 	pipeline *dispatch.Pipeline
 	crashes  *crash.Detector
 
@@ -70,13 +70,14 @@
 	random   *rand.Rand
 	inFlight map[string]int // requests in flight by customer
 	cancels  map[requestRef]context.CancelCauseFunc
-	// listOlderUntil is until when the platform's list may be older than what is known.
-	listOlderUntil time.Time
+	// vmListStaleUntil is when the platform's VM list is current again after a restore.
+	vmListStaleUntil time.Time
 
 	stopping atomic.Bool
 }
 
-// requestRef names a request of one customer; nobody else's can match it.
+// requestRef identifies a request within its customer, so that no other customer can
+// refer to it.
 type requestRef struct {
 	customer  string
 	requestID string
@@ -85,12 +86,12 @@
 const (
 	dialTimeout = time.Second
 	idleConns   = 512
-	// idleConnTime is how long a connection to an agent is kept unused: one that has fallen
-	// silent meanwhile shows it only in a request, which it holds until its deadline.
+	// idleConnTime bounds the reuse of idle connections to agents: a connection that broke
+	// unnoticed would block the next request until its deadline.
 	idleConnTime = 900 * time.Millisecond
 )
 
-// New returns an entry that routes by the replica's configuration.
+// New returns an entry that routes according to the replica's configuration.
 func New(options Options, rep *replica.Replica, now func() time.Time, log *logrus.Entry) *Entry {
 	table := routing.NewTable(options.Zone)
 	transport := &http.Transport{
@@ -116,7 +117,7 @@
 	}
 	e.crashes = crash.New(agentProber{e}, now, func(d time.Duration, f func()) { time.AfterFunc(d, f) }, log)
 	e.rebuild()
-	e.pipeline = dispatch.NewTargetPipeline(noFleet{}, tableChooser{e}, agentBackend{e}, now, log)
+	e.pipeline = dispatch.NewTargetPipeline(emptyFleet{}, tableChooser{e}, agentBackend{e}, now, log)
 	e.pipeline.SetQuarantine(e.crashes)
 	e.server = &fasthttp.Server{
 		Handler:               e.serve,
@@ -137,57 +138,55 @@
 const (
 	readTimeout = 30 * time.Second
 	idleTimeout = 2 * time.Minute
-	// prefetchBody is how much of a body is read before the handler runs; the
-	// handler reads the rest and enforces MaxBody.
+	// prefetchBody is the number of body bytes read before the handler runs. The handler
+	// reads the rest and enforces MaxBody.
 	prefetchBody = 64 << 10
-	// lastAnswers bounds the answers to requests given up by a stop: one way to a
-	// caller.
-	lastAnswers = time.Second
+	// finalResponseTime is the time to send failures for the requests that a stop canceled.
+	finalResponseTime = time.Second
 )
 
-// Serve answers callers on the listener until Stop.
+// Serve serves callers on the listener until Stop.
 func (e *Entry) Serve(listener net.Listener) error { return e.server.Serve(listener) }
 
-// Leave makes every answer the last of its connection and the entry not ready. What
-// is closed by Stop afterwards is hardly used any more, so that few requests cross it.
+// Leave makes the entry not ready and closes each connection after its next response, so
+// that few requests arrive on connections that Stop closes.
 func (e *Entry) Leave() { e.stopping.Store(true) }
 
-// Stop refuses new connections and returns when every request in flight has
-// ended. Those that are left when the context ends are given up and answered.
+// Stop refuses new connections and returns when every request in flight has ended. When
+// the context ends first, the remaining requests are canceled and get a failure response.
 func (e *Entry) Stop(ctx context.Context) error {
 	e.Leave()
 	bounded, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	defer cancel()
 	defer context.AfterFunc(ctx, func() {
-		e.giveUp()
-		time.AfterFunc(lastAnswers, cancel)
+		e.cancelInFlight()
+		time.AfterFunc(finalResponseTime, cancel)
 	})()
 	return errors.Wrap(e.server.ShutdownWithContext(bounded), "stop: requests in flight")
 }
 
-// giveUp ends every request in flight.
-func (e *Entry) giveUp() {
+// cancelInFlight cancels every request in flight.
+func (e *Entry) cancelInFlight() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.log.WithField("requests", len(e.cancels)).Warn("drain timeout: requests in flight are given up")
+	e.log.WithField("requests", len(e.cancels)).Warn("drain timeout: canceling requests in flight")
 	for _, cancel := range e.cancels {
 		cancel(dispatch.ErrLeaving)
 	}
 }
 
-// Ready tells whether the balancer should send requests here.
+// Ready reports whether the balancer should send requests to this entry.
 func (e *Entry) Ready() bool {
 	return !e.stopping.Load() && e.replica.View().Position.HasRecord()
 }
 
-// CrashDetector is what the entry knows of requests that end servers.
+// CrashDetector returns the detector of requests that crash servers.
 func (e *Entry) CrashDetector() *crash.Detector { return e.crashes }
 
 // OutcomeCounts implements admin.Host.
 func (e *Entry) OutcomeCounts() outcome.Counts { return e.pipeline.OutcomeCounts() }
 
-// WatchConfiguration brings each change into force until the context
-// ends.
+// WatchConfiguration applies each change of the configuration until the context ends.
 func (e *Entry) WatchConfiguration(ctx context.Context) {
 	for {
 		changed := e.replica.Changed()
@@ -200,23 +199,22 @@
 	}
 }
 
-// rebuild compiles the routes if the configuration has changed since. Leases and
-// other records, which come far more often, don't touch them.
+// rebuild compiles the routes if the configuration has changed. Other records, such as
+// leases, are far more frequent and don't affect the routes.
 func (e *Entry) rebuild() {
 	view := e.replica.View()
-	if c := e.index.Load(); c != nil && c.index.ConfigOffset() == view.Configured {
+	if current := e.snapshot.Load(); current != nil && current.index.ConfigOffset() == view.Configured {
 		return
 	}
 	index, err := selector.NewIndex(view)
 	if err != nil {
-		// The fold validates selectors and references, so this is a fault of ours;
-		// going on with the routes in force is the safe answer.
-		e.log.WithError(err).Error("configuration doesn't compile; keeping the routes in force")
+		// Selectors and references are validated before they are applied, so this is a bug.
+		e.log.WithError(err).Error("configuration doesn't compile; keeping the current routes")
 		return
 	}
-	c := newCompiled(index)
-	e.index.Store(c)
-	e.crashes.SetServers(c.registry())
+	current := newSnapshot(index)
+	e.snapshot.Store(current)
+	e.crashes.SetServers(current.registry())
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.table.Sync(index.Servers())
--- a/internal/entry/entry_suite_test.go
+++ b/internal/entry/entry_suite_test.go
@@ -35,14 +35,14 @@
 	keyOfTulipan = "key-of-tulipan"
 )
 
-// fixture is an entry before fake agents.
+// fixture is an entry in front of fake agents.
 type fixture struct {
 	entry   *entry.Entry
 	address string
 }
 
-// newFixture starts an entry that routes model petal-7b to the engines and
-// /dispatch to the plain servers; each address is an agent's.
+// newFixture starts an entry that routes model petal-7b to the engines and /dispatch to
+// the plain servers, given by the addresses of their agents.
 func newFixture(engines, plains []string) *fixture {
 	manifest := fmt.Sprintf(`
 kind: Customer
@@ -117,7 +117,7 @@
 	return config.LogEntry{Position: 0, Data: data}
 }
 
-// fakeAgent starts an agent that answers with the handler.
+// fakeAgent starts an agent with the given handler and returns its address.
 func fakeAgent(handler http.HandlerFunc) string {
 	server := httptest.NewServer(handler)
 	DeferCleanup(server.Close)
@@ -133,7 +133,7 @@
 	return address
 }
 
-func answerWith(body string) http.HandlerFunc {
+func respondWith(body string) http.HandlerFunc {
 	return func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set(wire.HeaderOutcome, string(failure.OutcomeAnswered))
 		_, _ = io.WriteString(w, body)
@@ -147,8 +147,8 @@
 	}
 }
 
-// cutConnection takes the whole request and closes the connection unanswered.
-func cutConnection(_ http.ResponseWriter, r *http.Request) {
+// abortConnection reads the whole request and closes the connection without a response.
+func abortConnection(_ http.ResponseWriter, r *http.Request) {
 	_, _ = io.Copy(io.Discard, r.Body)
 	panic(http.ErrAbortHandler)
 }
@@ -176,7 +176,7 @@
 	return parsed.Error
 }
 
-// send writes raw bytes and returns the first line of the answer.
+// send writes raw bytes and returns the first line of the response.
 func (f *fixture) send(raw string) string {
 	conn, err := net.Dial("tcp", f.address)
 	Expect(err).NotTo(HaveOccurred())
--- a/internal/entry/entry_test.go
+++ b/internal/entry/entry_test.go
@@ -26,16 +26,16 @@
 func outcomeOf(response *http.Response) string { return response.Header.Get(wire.HeaderOutcome) }
 
 var _ = Describe("outcomes", func() {
-	It("relays the whole answer", func() {
-		f := newFixture([]string{fakeAgent(answerWith("whole answer"))}, nil)
+	It("relays the complete response", func() {
+		f := newFixture([]string{fakeAgent(respondWith("complete response"))}, nil)
 		response, body := f.post(keyOfRozsa, "/v1/chat/completions", completion, nil)
 		Expect(response.StatusCode).To(Equal(http.StatusOK))
-		Expect(body).To(Equal("whole answer"))
+		Expect(body).To(Equal("complete response"))
 		Expect(outcomeOf(response)).To(Equal("answered"))
 		Expect(response.Header.Get(wire.HeaderRequestID)).NotTo(BeEmpty())
 	})
 
-	It("calls a refused connection not run, names the peer, and says when to come back", func() {
+	It("reports a refused connection as not-run with Retry-After", func() {
 		f := newFixture([]string{deadAddress()}, nil)
 		response, body := f.post(keyOfRozsa, "/v1/chat/completions", completion, nil)
 		detail := failureIn(body)
@@ -44,7 +44,7 @@
 		Expect(detail.Code).To(BeElementOf("no-server", "server-lost"))
 	})
 
-	It("names the lost server as the cause of a refused connection", func() {
+	It("names the server that refused the connection", func() {
 		f := newFixture(nil, []string{deadAddress()})
 		_, body := f.post(keyOfRozsa, "/dispatch/x", "slot", header{wire.HeaderIdempotencyKey: "k"})
 		detail := failureIn(body)
@@ -53,26 +53,26 @@
 		Expect(detail.Step).To(Equal("send"))
 	})
 
-	It("calls a connection cut after sending unknown, and doesn't send a non-idempotent request again", func() {
+	It("reports unknown and doesn't retry a non-idempotent request when the connection drops after sending", func() {
 		var sent atomic.Int64
-		agent := func(w http.ResponseWriter, r *http.Request) { sent.Add(1); cutConnection(w, r) }
+		agent := func(w http.ResponseWriter, r *http.Request) { sent.Add(1); abortConnection(w, r) }
 		f := newFixture(nil, []string{fakeAgent(agent), fakeAgent(agent)})
 		_, body := f.post(keyOfRozsa, "/dispatch/x", "slot", nil)
 		Expect(failureIn(body).Outcome).To(Equal("unknown"))
 		Expect(sent.Load()).To(Equal(int64(1)))
 	})
 
-	It("sends an idempotent request elsewhere when its server is lost", func() {
-		f := newFixture([]string{fakeAgent(cutConnection), fakeAgent(answerWith("second"))}, nil)
+	It("retries an idempotent request on another server when the connection drops", func() {
+		f := newFixture([]string{fakeAgent(abortConnection), fakeAgent(respondWith("second"))}, nil)
 		for range 8 {
 			response, body := f.post(keyOfTulipan, "/v1/chat/completions", completion, header{wire.HeaderIdempotent: "true"})
 			Expect(outcomeOf(response)).To(Equal("answered"), body)
 		}
 	})
 
-	It("never says not run after an attempt that may have run", func() {
+	It("doesn't report not-run after an attempt that may have run", func() {
 		var arrived atomic.Bool
-		cut := func(w http.ResponseWriter, r *http.Request) { arrived.Store(true); cutConnection(w, r) }
+		cut := func(w http.ResponseWriter, r *http.Request) { arrived.Store(true); abortConnection(w, r) }
 		refused := refuseWith(failure.NotRun(failure.StepQueue, "", failure.CodeOverloaded, "full"))
 		for range 8 {
 			f := newFixture([]string{fakeAgent(cut), fakeAgent(refused)}, nil)
@@ -83,16 +83,16 @@
 		}
 	})
 
-	It("sends a request that a leaving server refused to another", func() {
+	It("retries a request that a leaving server refused on another server", func() {
 		refused := refuseWith(failure.NotRun(failure.StepQueue, "", failure.CodeLeaving, "leaving"))
-		f := newFixture(nil, []string{fakeAgent(refused), fakeAgent(answerWith("ran"))})
+		f := newFixture(nil, []string{fakeAgent(refused), fakeAgent(respondWith("ran"))})
 		for range 8 {
 			_, body := f.post(keyOfTulipan, "/dispatch/x", "slot", nil)
 			Expect(body).To(Equal("ran"))
 		}
 	})
 
-	It("sends nothing to servers that rest, and refuses at once when all do", func() {
+	It("sends nothing to resting servers and refuses immediately while all rest", func() {
 		var asked atomic.Int64
 		resting := func(seconds int) http.HandlerFunc {
 			return func(w http.ResponseWriter, _ *http.Request) {
@@ -108,7 +108,7 @@
 			Expect(response.StatusCode).To(Equal(http.StatusServiceUnavailable))
 			Expect(failureIn(body).Outcome).To(Equal("not-run"))
 			Expect(failureIn(body).Code).To(Equal(string(failure.CodeResting)))
-			Expect(failureIn(body).RetryAfterMs).To(BeNumerically("~", 45000, 17000), "until the first rest ends")
+			Expect(failureIn(body).RetryAfterMs).To(BeNumerically("~", 45000, 17000), "time until the first rest ends")
 		}
 		Expect(asked.Load()).To(Equal(int64(2)))
 		for _, server := range f.entry.Servers() {
@@ -119,8 +119,8 @@
 		Expect(reasons["dispatch-1"]).To(ContainSubstring("has asked for rest"))
 	})
 
-	It("keeps the ledger balanced over every kind of end", func() {
-		f := newFixture([]string{fakeAgent(cutConnection), deadAddress(), fakeAgent(answerWith("ok"))}, nil)
+	It("accounts for every request with exactly one outcome", func() {
+		f := newFixture([]string{fakeAgent(abortConnection), deadAddress(), fakeAgent(respondWith("ok"))}, nil)
 		for range 20 {
 			f.post(keyOfTulipan, "/v1/chat/completions", completion, nil)
 		}
@@ -132,13 +132,13 @@
 })
 
 var _ = Describe("keyed requests", func() {
-	It("go to one home, whichever entry takes them", func() {
+	It("go to the same home from every entry", func() {
 		var seen [3]atomic.Int64
 		var agents []string
 		for i := range seen {
 			agents = append(agents, fakeAgent(func(w http.ResponseWriter, r *http.Request) {
 				seen[i].Add(1)
-				answerWith("ran")(w, r)
+				respondWith("ran")(w, r)
 			}))
 		}
 		first, second := newFixture(nil, agents), newFixture(nil, agents)
@@ -156,9 +156,9 @@
 		Expect(homes).To(Equal(1))
 	})
 
-	It("are unknown, and go nowhere else, when their home is dead", func() {
+	It("are unknown and not sent elsewhere when their home is unreachable", func() {
 		var sent atomic.Int64
-		live := fakeAgent(func(w http.ResponseWriter, r *http.Request) { sent.Add(1); answerWith("ran")(w, r) })
+		live := fakeAgent(func(w http.ResponseWriter, r *http.Request) { sent.Add(1); respondWith("ran")(w, r) })
 		f := newFixture(nil, []string{deadAddress(), live})
 		unknown := 0
 		for range 20 {
@@ -171,14 +171,14 @@
 		Expect(sent.Load()).To(Equal(int64(20 - unknown)))
 	})
 
-	It("move on only when their home closed the key", func() {
+	It("go to the next home only after their home has closed the key", func() {
 		var closed, ran atomic.Int64
 		leaving := fakeAgent(func(w http.ResponseWriter, _ *http.Request) {
 			closed.Add(1)
 			w.Header().Set(wire.HeaderKeyClosed, "1")
 			refuseWith(failure.NotRun(failure.StepQueue, "", failure.CodeLeaving, "leaving"))(w, nil)
 		})
-		live := fakeAgent(func(w http.ResponseWriter, r *http.Request) { ran.Add(1); answerWith("ran")(w, r) })
+		live := fakeAgent(func(w http.ResponseWriter, r *http.Request) { ran.Add(1); respondWith("ran")(w, r) })
 		f := newFixture(nil, []string{leaving, live})
 		for range 20 {
 			response, body := f.post(keyOfRozsa, "/dispatch/x", "slot", header{wire.HeaderIdempotencyKey: uuid.Must(uuid.NewV7()).String()})
@@ -188,18 +188,18 @@
 		Expect(ran.Load()).To(Equal(int64(20)))
 	})
 
-	It("are refused when their time is ahead of the entry's clock", func() {
-		f := newFixture(nil, []string{fakeAgent(answerWith("ran"))})
+	It("are rejected when the key's timestamp is ahead of the entry's clock", func() {
+		f := newFixture(nil, []string{fakeAgent(respondWith("ran"))})
 		id := uuid.Must(uuid.NewV7())
-		id[1] += 2 // about a day
+		id[1] += 2 // about a day ahead
 		response, body := f.post(keyOfRozsa, "/dispatch/x", "slot", header{wire.HeaderIdempotencyKey: id.String()})
 		Expect(response.StatusCode).To(Equal(http.StatusBadRequest))
 		Expect(failureIn(body).Message).To(ContainSubstring("ahead"))
 	})
 })
 
-// streamFrom streams tokens after Last-Event-ID and cuts the connection after
-// the token cutAfter, unless that is 0.
+// streamFrom streams tokens after Last-Event-ID and drops the connection after token
+// cutAfter, unless that is 0.
 func streamFrom(cutAfter int) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		after := 0
@@ -217,7 +217,7 @@
 }
 
 var _ = Describe("streams", func() {
-	It("resume at another server with no token lost or doubled", func() {
+	It("resume on another server without losing or repeating tokens", func() {
 		f := newFixture([]string{fakeAgent(streamFrom(3)), fakeAgent(streamFrom(0))}, nil)
 		for range 8 {
 			_, body := f.post(keyOfTulipan, "/v1/chat/completions", streamed, header{wire.HeaderIdempotent: "true"})
@@ -228,7 +228,7 @@
 		}
 	})
 
-	It("end with a typed error when they can't be resumed", func() {
+	It("end with an error event when they can't be resumed", func() {
 		f := newFixture([]string{fakeAgent(streamFrom(3))}, nil)
 		_, body := f.post(keyOfTulipan, "/v1/chat/completions", streamed, nil)
 		Expect(body).To(ContainSubstring("event: error"))
@@ -236,7 +236,7 @@
 		Eventually(func() int64 { return f.entry.OutcomeCounts().Unknown }).Should(Equal(int64(1)))
 	})
 
-	It("cancel the work when the caller leaves", func() {
+	It("are canceled at the agent when the caller disconnects", func() {
 		canceled := make(chan struct{})
 		agent := fakeAgent(func(w http.ResponseWriter, r *http.Request) {
 			w.Header().Set("Content-Type", "text/event-stream")
@@ -262,14 +262,14 @@
 	})
 })
 
-var _ = Describe("settings", func() {
-	It("pace the polling of agents", func() {
+var _ = Describe("Options", func() {
+	It("derive the poll interval from the rate", func() {
 		Expect(entry.Options{PollsPerSecond: 20}.PollInterval()).To(Equal(50 * time.Millisecond))
 	})
 })
 
-var _ = Describe("waiting callers", func() {
-	It("cancel the work at the agent when they leave", func() {
+var _ = Describe("buffered requests", func() {
+	It("are canceled at the agent when the caller disconnects", func() {
 		arrived, canceled := make(chan struct{}), make(chan struct{})
 		agent := fakeAgent(func(_ http.ResponseWriter, r *http.Request) {
 			_, _ = io.Copy(io.Discard, r.Body)
@@ -290,7 +290,7 @@
 })
 
 var _ = Describe("planned stops", func() {
-	It("answer on open connections first, and end each with its answer", func() {
+	It("close open connections after their next response", func() {
 		agent := fakeAgent(func(w http.ResponseWriter, _ *http.Request) { fmt.Fprint(w, "{}") })
 		f := newFixture([]string{agent}, nil)
 		response, _ := f.post(keyOfRozsa, "/v1/chat/completions", completion, nil)
@@ -302,7 +302,7 @@
 		Expect(response.Close).To(BeTrue())
 	})
 
-	It("answer what is still in flight when their time runs out", func() {
+	It("send a failure response to requests in flight when the drain timeout expires", func() {
 		arrived := make(chan struct{}, 1)
 		agent := fakeAgent(func(_ http.ResponseWriter, r *http.Request) {
 			_, _ = io.Copy(io.Discard, r.Body)
@@ -310,39 +310,39 @@
 			<-r.Context().Done()
 		})
 		f := newFixture([]string{agent}, nil)
-		got := make(chan string, 1)
+		responses := make(chan string, 1)
 		go func() {
 			defer GinkgoRecover()
 			response, body := f.post(keyOfRozsa, "/v1/chat/completions", completion, nil)
 			Expect(response.Header.Get("Retry-After")).NotTo(BeEmpty())
-			got <- body
+			responses <- body
 		}()
 		<-arrived
 		over, cancel := context.WithCancel(context.Background())
 		cancel()
 		_ = f.entry.Stop(over)
 		var body string
-		Eventually(got, "5s").Should(Receive(&body))
+		Eventually(responses, "5s").Should(Receive(&body))
 		Expect(failureIn(body)).To(HaveField("Code", "leaving"))
 		Expect(failureIn(body)).To(HaveField("Outcome", "unknown"))
 	})
 })
 
-// endedEngine is the control port of an agent behind whose back the server has ended.
-type endedEngine struct{ rpc.Agents }
+// exitedEngine is the control service of an agent whose server has exited.
+type exitedEngine struct{ rpc.Agents }
 
-func (endedEngine) Engine(context.Context, *rpc.EngineRequest) (*rpc.EngineReply, error) {
+func (exitedEngine) Engine(context.Context, *rpc.EngineRequest) (*rpc.EngineReply, error) {
 	return &rpc.EngineReply{State: rpc.EngineState_ENGINE_STATE_ENDED}, nil
 }
 
-func (endedEngine) Report(context.Context, *rpc.ReportRequest) (*rpc.LoadReport, error) {
-	return nil, twirp.NewError(twirp.Unavailable, "not asked here")
+func (exitedEngine) Report(context.Context, *rpc.ReportRequest) (*rpc.LoadReport, error) {
+	return nil, twirp.NewError(twirp.Unavailable, "not implemented")
 }
 
-var _ = Describe("a request that ends the servers behind its agents", func() {
-	It("gets two servers, however often its caller repeats it, and the next customer's is served", func() {
+var _ = Describe("a request that crashes servers", func() {
+	It("is quarantined after two crashes, and other requests are served", func() {
 		var ended atomic.Int64
-		control := rpc.NewAgentsServer(endedEngine{})
+		control := rpc.NewAgentsServer(exitedEngine{})
 		agent := func(w http.ResponseWriter, r *http.Request) {
 			body, err := io.ReadAll(r.Body)
 			switch {
@@ -353,7 +353,7 @@
 				ended.Add(1)
 				refuseWith(failure.Unknown(failure.StepRun, "", failure.CodeServerLost, "EOF"))(w, r)
 			default:
-				answerWith("served")(w, r)
+				respondWith("served")(w, r)
 			}
 		}
 		f := newFixture(nil, []string{fakeAgent(agent), fakeAgent(agent), fakeAgent(agent), fakeAgent(agent)})
--- a/internal/entry/poll.go
+++ b/internal/entry/poll.go
@@ -14,21 +14,20 @@
 
 const (
 	reportTimeout = 800 * time.Millisecond
-	// reportWorkers is the size of the pool that polls agents.
-	reportWorkers = 8
-	vmListEvery   = 2 * time.Second
+	// pollWorkers bounds the concurrent polls.
+	pollWorkers    = 8
+	vmListInterval = 2 * time.Second
 )
 
-// PollAgents polls agents for their load until the context ends. The rate is
-// bounded by ReportsPerSecond, so the cost stays level as the fleet grows: the
-// server whose report is oldest comes next, servers of the own zone counting as
-// four times older.
+// PollAgents polls agents for their load until the context ends, the stalest report first;
+// see routing.Table.NextToPoll. PollsPerSecond bounds the rate, so that the cost doesn't
+// grow with the fleet.
 func (e *Entry) PollAgents(ctx context.Context) error {
 	tick := time.NewTicker(e.options.PollInterval())
 	defer tick.Stop()
 	due := make(chan *routing.ServerState)
 	group, ctx := errgroup.WithContext(ctx)
-	for range reportWorkers {
+	for range pollWorkers {
 		group.Go(func() error {
 			for row := range due {
 				e.poll(ctx, row)
@@ -44,7 +43,7 @@
 			case <-ctx.Done():
 				return nil
 			}
-			row := e.stalest()
+			row := e.nextToPoll()
 			if row == nil {
 				continue
 			}
@@ -58,7 +57,7 @@
 	return group.Wait()
 }
 
-func (e *Entry) stalest() *routing.ServerState {
+func (e *Entry) nextToPoll() *routing.ServerState {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.table.NextToPoll(e.now())
@@ -70,11 +69,11 @@
 	client := rpc.NewAgentsProtobufClient("http://"+row.Server.Spec.Control, e.control)
 	report, err := client.Report(ctx, &rpc.ReportRequest{Daemon: e.options.Name})
 	if err != nil {
-		e.noteFailed(row.Server.Name)
+		e.recordUnreachable(row.Server.Name)
 		return
 	}
 	if report.Server != row.Server.Name {
-		e.noteFailed(row.Server.Name) // the address was reused
+		e.recordUnreachable(row.Server.Name) // the address was reused
 		return
 	}
 	load := wire.Load{
@@ -86,19 +85,18 @@
 	e.table.UpdateLoad(e.now(), row.Server.Name, report.Incarnation, load)
 }
 
-// agentProber asks the agents whether the servers behind them listen. It implements
-// crash.Prober.
+// agentProber probes servers through their agents. It implements crash.Prober.
 type agentProber struct{ entry *Entry }
 
 // Probe implements crash.Prober.
 func (p agentProber) Probe(ctx context.Context, server *fleet.Server) crash.Liveness {
-	listed := p.entry.index.Load().index.Servers()[server.ID]
+	listed := p.entry.snapshot.Load().index.Servers()[server.ID]
 	if listed == nil {
 		return crash.Unknown
 	}
 	reply, err := rpc.NewAgentsProtobufClient("http://"+listed.Spec.Control, p.entry.control).Engine(ctx, &rpc.EngineRequest{})
 	if err != nil {
-		return crash.Unknown // the agent is lost, which says nothing of the request
+		return crash.Unknown // an unreachable agent doesn't imply that the server exited
 	}
 	switch reply.GetState() {
 	case rpc.EngineState_ENGINE_STATE_ENDED:
@@ -112,17 +110,17 @@
 
 // VMList is the platform's list of backend servers.
 type VMList interface {
-	// Leaving tells of each listed server whether it is leaving.
+	// Leaving returns for each listed server whether it is leaving.
 	Leaving(ctx context.Context) (map[string]bool, error)
 }
 
-// PollVMList reads the platform's list until the context ends. The list lags, so
-// it only ever takes servers out of routing; what agents say comes first.
+// PollVMList polls the platform's VM list until the context ends. The list lags, so it can
+// only exclude servers from routing, never include one that its agent reports as leaving.
 func (e *Entry) PollVMList(ctx context.Context, list VMList) {
-	ticker := time.NewTicker(vmListEvery)
+	ticker := time.NewTicker(vmListInterval)
 	defer ticker.Stop()
 	for {
-		e.readVMs(ctx, list)
+		e.readVMList(ctx, list)
 		select {
 		case <-ticker.C:
 		case <-ctx.Done():
@@ -131,31 +129,31 @@
 	}
 }
 
-func (e *Entry) readVMs(ctx context.Context, list VMList) {
-	ctx, cancel := context.WithTimeout(ctx, vmListEvery)
+func (e *Entry) readVMList(ctx context.Context, list VMList) {
+	ctx, cancel := context.WithTimeout(ctx, vmListInterval)
 	defer cancel()
 	listed, err := list.Leaving(ctx)
 	if err != nil {
-		e.log.WithError(err).Debug("VM list not read; keeping the last one")
+		e.log.WithError(err).Debug("VM list not read; keeping the previous one")
 		return
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	for name, leaving := range listed {
-		if leaving || !e.now().Before(e.listOlderUntil) {
+		if leaving || !e.now().Before(e.vmListStaleUntil) {
 			e.table.SetListedLeaving(name, leaving)
 		}
 	}
 }
 
-// relistTime is how long the platform's list may be older than what is known, after it has
-// come back from a copy: what its writers wrote meanwhile is back within about two seconds.
-const relistTime = 2300 * time.Millisecond
+// vmListStaleTime is how long the VM list may be stale after a restore from a backup: its
+// writers write the current state again within about two seconds.
+const vmListStaleTime = 2300 * time.Millisecond
 
-// VMListRestored notes that the platform's list has come back from an older copy, which may
-// list leaving servers as up.
+// VMListRestored records that the VM list was restored from a backup and may show leaving
+// servers as up.
 func (e *Entry) VMListRestored() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.listOlderUntil = e.now().Add(relistTime)
+	e.vmListStaleUntil = e.now().Add(vmListStaleTime)
 }
--- a/internal/entry/rebuild_test.go
+++ b/internal/entry/rebuild_test.go
@@ -10,7 +10,7 @@
 	"github.com/sirupsen/logrus"
 )
 
-func foldRecord(t *testing.T, rep *replica.Replica, record *config.Record) {
+func applyRecord(t *testing.T, rep *replica.Replica, record *config.Record) {
 	t.Helper()
 	record.Format = config.FormatVersion
 	data, err := record.Encode()
@@ -23,26 +23,25 @@
 	}
 }
 
-// TestOnlyChangesRebuildTheRoutes: handovers and events come far more
-// often than changes, and compiling the routes costs tens of milliseconds at the
-// size to come.
+// Guards against recompiling the routes, which takes tens of milliseconds, for frequent
+// records that don't affect them.
 func TestOnlyChangesRebuildTheRoutes(t *testing.T) {
 	logger := logrus.New()
 	logger.SetOutput(io.Discard)
 	rep := replica.New(time.Now)
 	e := New(Options{Name: "e", Zone: "a", PollsPerSecond: 1}, rep, time.Now, logrus.NewEntry(logger))
-	before := e.index.Load()
-	foldRecord(t, rep, &config.Record{Kind: config.RecordEvent, Event: &config.Event{Actor: "h", Action: config.AuditMap, Object: "Group/g"}})
+	before := e.snapshot.Load()
+	applyRecord(t, rep, &config.Record{Kind: config.RecordEvent, Event: &config.Event{Actor: "h", Action: config.AuditMap, Object: "Group/g"}})
 	e.rebuild()
-	if e.index.Load() != before {
+	if e.snapshot.Load() != before {
 		t.Fatal("an event rebuilt the routes")
 	}
 	customer := &config.Object{Kind: config.KindCustomer, Name: "c", Customer: &config.Customer{}}
-	foldRecord(t, rep, &config.Record{Kind: config.RecordChange, Bundle: &config.Bundle{
+	applyRecord(t, rep, &config.Record{Kind: config.RecordChange, Bundle: &config.Bundle{
 		CommandID: "1", Changes: []config.Change{{Kind: customer.Kind, Name: customer.Name, Object: customer}},
 	}})
 	e.rebuild()
-	if e.index.Load().index.Customer("c") == nil {
+	if e.snapshot.Load().index.Customer("c") == nil {
 		t.Fatal("a change did not rebuild the routes")
 	}
 }
--- a/internal/entry/relay.go
+++ b/internal/entry/relay.go
@@ -17,20 +17,20 @@
 	"github.com/pkg/errors"
 )
 
-// departureCheck is how often a waiting request looks whether its caller left.
-const departureCheck = 100 * time.Millisecond
+// disconnectPollInterval is the time between checks whether a waiting caller disconnected.
+const disconnectPollInterval = 100 * time.Millisecond
 
-// execute hands the request to the pipeline and answers.
+// execute passes the request to the pipeline and writes the response.
 func (e *Entry) execute(x *exchange) {
 	ctx, cancel := context.WithCancelCause(context.Background())
 	e.register(x, cancel)
 	request, target := e.newRequest(x), e.newTarget(x)
-	r := &relay{entry: e, x: x, cancel: func() { cancel(nil) }, begun: make(chan struct{}), ended: make(chan struct{})}
+	r := &relay{entry: e, x: x, cancel: func() { cancel(nil) }, started: make(chan struct{}), done: make(chan struct{})}
 	go func() {
-		defer e.leave(x)
-		r.end(e.pipeline.ServeTarget(ctx, request, target, r))
+		defer e.release(x)
+		r.finish(e.pipeline.ServeTarget(ctx, request, target, r))
 	}()
-	r.await(x)
+	r.wait(x)
 }
 
 func (e *Entry) register(x *exchange, cancel context.CancelCauseFunc) {
@@ -39,7 +39,7 @@
 	e.cancels[requestRef{customer: x.customer.Name, requestID: x.id}] = cancel
 }
 
-// exchangeOf returns the exchange of one of this entry's requests.
+// exchangeOf returns the exchange that a request of this entry belongs to.
 func exchangeOf(r *dispatch.Request) *exchange { return r.FrontendState.(*exchange) }
 
 func (e *Entry) newRequest(x *exchange) *dispatch.Request {
@@ -50,7 +50,7 @@
 	for name, value := range x.ctx.Request.Header.All() {
 		r.Header.Add(string(name), string(value))
 	}
-	// The API key is ours, and the host is the server's own.
+	// The API key is not forwarded, and the server gets its own host.
 	r.Header.Del("Authorization")
 	r.Header.Del("Host")
 	r.Header.Del("Connection")
@@ -59,11 +59,11 @@
 
 func (e *Entry) newTarget(x *exchange) dispatch.Target {
 	target := dispatch.Target{
-		Version: x.compiled.index.ConfigOffset(), Service: x.route.Spec.Service, Deadline: x.deadline, HasEndEvent: true,
-		Route: &fleet.Route{Name: x.route.Name, Kind: kindOf(x), Resumable: x.intent.Idempotent, MaxAttempts: len(x.compiled.servers)},
+		Version: x.snapshot.index.ConfigOffset(), Service: x.route.Spec.Service, Deadline: x.deadline, HasEndEvent: true,
+		Route: &fleet.Route{Name: x.route.Name, Kind: kindOf(x), Resumable: x.intent.Idempotent, MaxAttempts: len(x.snapshot.servers)},
 	}
 	if x.tracked() {
-		target.Homes = x.compiled.homes(x)
+		target.Homes = x.snapshot.keyHomes(x)
 	}
 	return target
 }
@@ -79,112 +79,112 @@
 	}
 }
 
-// relay takes the answer from the pipeline and gives it to fasthttp, which reads
-// streams from it. It implements dispatch.Caller.
+// relay passes the pipeline's response to fasthttp, through a pipe if it is a stream. It
+// implements dispatch.ResponseWriter.
 type relay struct {
 	entry  *Entry
 	x      *exchange
 	cancel context.CancelFunc
 
-	// begun is closed when a stream begins, ended when the pipeline is done; what
-	// follows was written before.
-	begun, ended chan struct{}
-	status       int
-	header       http.Header
-	body         bytes.Buffer
-	reader       *io.PipeReader
-	writer       *io.PipeWriter
-	failure      *failure.Error
+	// started is closed when a stream starts, done when the pipeline has finished. The
+	// fields below are written before.
+	started, done chan struct{}
+	status        int
+	header        http.Header
+	body          bytes.Buffer
+	reader        *io.PipeReader
+	writer        *io.PipeWriter
+	failure       *failure.Error
 }
 
-// errTooLarge says that an unstreamed answer is over the entry's limit.
-var errTooLarge = errors.New("answer over the entry's limit")
+// errResponseTooLarge reports a buffered response that exceeds Options.MaxResponse.
+var errResponseTooLarge = errors.New("response exceeds the entry's size limit")
 
-// Start implements dispatch.Caller.
+// Start implements dispatch.ResponseWriter.
 func (r *relay) Start(status int, header http.Header, _ int64) {
 	r.status, r.header = status, header
 	if isEventStream(header) {
 		r.reader, r.writer = io.Pipe()
-		close(r.begun)
+		close(r.started)
 	}
 }
 
-// Write implements dispatch.Caller.
+// Write implements dispatch.ResponseWriter.
 func (r *relay) Write(data []byte) error {
 	if r.writer != nil {
 		_, err := r.writer.Write(data)
 		return err
 	}
 	if int64(r.body.Len()+len(data)) > r.entry.options.MaxResponse {
-		return errTooLarge
+		return errResponseTooLarge
 	}
 	r.body.Write(data)
 	return nil
 }
 
-// end takes the pipeline's result. A stream that was cut ends with an event that
-// says so, never silently.
-func (r *relay) end(result dispatch.Result) {
+// finish records the pipeline's result. A stream that broke off ends with an error event.
+func (r *relay) finish(result dispatch.Result) {
 	defer r.cancel()
 	r.failure = result.Failure
 	if r.writer != nil {
 		if r.failure != nil {
-			_, _ = r.writer.Write(failureEvent(r.x, r.failure)) // a caller that left reads nothing
+			_, _ = r.writer.Write(failureEvent(r.x, r.failure)) // fails only if the caller disconnected
 		}
-		_ = r.writer.Close() // a pipe's never fails
+		_ = r.writer.Close() // never fails for a pipe
 	}
-	close(r.ended)
+	close(r.done)
 }
 
-// await waits until there is something to answer, and ends the work when the
-// caller leaves.
-func (r *relay) await(x *exchange) {
-	ticker := time.NewTicker(departureCheck)
+// wait blocks until a response can be written, and cancels the request when the caller
+// disconnects.
+func (r *relay) wait(x *exchange) {
+	ticker := time.NewTicker(disconnectPollInterval)
 	defer ticker.Stop()
 	for {
 		select {
-		case <-r.begun:
+		case <-r.started:
 			r.writeStream(x)
 			return
-		case <-r.ended:
-			r.writeAnswer(x)
+		case <-r.done:
+			r.writeResponse(x)
 			return
 		case <-ticker.C:
-			if callerGone(x.ctx.Conn()) {
+			if callerDisconnected(x.ctx.Conn()) {
 				r.cancel()
 			}
 		}
 	}
 }
 
-func (r *relay) writeAnswer(x *exchange) {
+func (r *relay) writeResponse(x *exchange) {
 	if r.failure != nil {
 		writeFailure(x, r.failure)
 		return
 	}
-	copyAnswerHeaders(x, r.header)
+	copyResponseHeaders(x, r.header)
 	x.ctx.SetStatusCode(r.status)
 	x.ctx.Response.Header.Set(wire.HeaderOutcome, string(failure.OutcomeAnswered))
 	x.ctx.SetBody(r.body.Bytes())
 }
 
-// writeStream answers with a stream. fasthttp reads it after the handler returned;
-// when the caller is slow, nothing is read from the server.
+// writeStream responds with a stream, which fasthttp reads after the handler has returned.
+// The pipe applies the caller's back pressure to the server.
 func (r *relay) writeStream(x *exchange) {
-	copyAnswerHeaders(x, r.header)
+	copyResponseHeaders(x, r.header)
 	x.ctx.SetStatusCode(r.status)
 	x.ctx.Response.Header.Set("Cache-Control", "no-cache")
 	const unknownLength = -1
 	x.ctx.SetBodyStream(&streamBody{PipeReader: r.reader, cancel: r.cancel}, unknownLength)
 }
 
-// streamBody is what fasthttp reads of a stream.
+// streamBody is a response body that cancels its request when closed.
 type streamBody struct {
 	*io.PipeReader
 	cancel context.CancelFunc
 }
 
-// Close implements io.Closer: the stream was written, or its caller left.
+// Close implements io.Closer. fasthttp calls it at the end of the stream and when the
+// caller disconnects.
 func (b *streamBody) Close() error {
 	b.cancel()
 	return b.PipeReader.Close()
@@ -194,7 +194,7 @@
 	return strings.HasPrefix(header.Get("Content-Type"), "text/event-stream")
 }
 
-// failureEvent is the last event of a cut stream.
+// failureEvent returns the last event of a stream that broke off.
 func failureEvent(x *exchange, f *failure.Error) []byte {
 	f = &failure.Error{
 		Step: f.Step, Peer: f.Peer, Code: f.Code, Outcome: failure.OutcomeUnknown,
--- a/internal/entry/response.go
+++ b/internal/entry/response.go
@@ -7,14 +7,15 @@
 	"github.com/crowbridge/crowbridge/internal/wire"
 )
 
-// answerHeaders are crowbridge's own headers that callers get to see.
-var answerHeaders = map[string]bool{
+// forwardedHeaders are the X-Crowbridge headers that are forwarded to callers.
+var forwardedHeaders = map[string]bool{
 	wire.HeaderServer: true, wire.HeaderReplayed: true, wire.HeaderOutcome: true,
 }
 
-func copyAnswerHeaders(x *exchange, from http.Header) {
+// copyResponseHeaders copies a response's headers except internal and hop-by-hop ones.
+func copyResponseHeaders(x *exchange, from http.Header) {
 	for name, values := range from {
-		if strings.HasPrefix(name, "X-Crowbridge-") && !answerHeaders[name] {
+		if strings.HasPrefix(name, "X-Crowbridge-") && !forwardedHeaders[name] {
 			continue
 		}
 		switch name {
--- a/internal/entry/serve.go
+++ b/internal/entry/serve.go
@@ -26,7 +26,7 @@
 	pathRequests   = "/v1/requests/"
 )
 
-// exchange is one caller's request on its way through the entry.
+// exchange is a caller's request and its state in the entry.
 type exchange struct {
 	ctx      *fasthttp.RequestCtx
 	body     []byte
@@ -35,17 +35,17 @@
 	route    *selector.Route
 	intent   httpapi.Intent
 	deadline time.Time
-	// stream is set when the caller asked for server-sent events.
+	// stream is set if the caller requested server-sent events.
 	stream bool
 	cost   float64
 	prefix uint64
-	// homes is the offset of the last change of where the service's keys live. The
-	// route is from a configuration no older.
-	homes int64
-	// homeServers are the servers among which keys have their homes.
+	// homesOffset is the offset of the last change of the homes of the service's keys. The
+	// route is from the same or a later configuration.
+	homesOffset int64
+	// homeServers are the servers that may be homes of keys.
 	homeServers []*selector.Server
-	// compiled is the configuration that decided.
-	compiled *compiled
+	// snapshot is the configuration that the request was routed by.
+	snapshot *snapshot
 }
 
 func (e *Entry) serve(ctx *fasthttp.RequestCtx) {
@@ -69,25 +69,25 @@
 	}
 }
 
-// serveProtocolError answers what fasthttp could not read as a request.
+// serveProtocolError responds to a request that fasthttp could not parse.
 func serveProtocolError(ctx *fasthttp.RequestCtx, err error) {
 	x := &exchange{ctx: ctx, id: uuid.NewString()}
 	writeFailure(x, failure.NotRun(failure.StepParse, "", failure.CodeInvalid, err.Error()))
 }
 
-const bearer = "Bearer "
+const bearerPrefix = "Bearer "
 
 func (e *Entry) authenticate(x *exchange) *failure.Error {
 	if !e.replica.View().Position.HasRecord() {
 		return failure.NotRun(failure.StepAuthenticate, e.options.Name, failure.CodeNoServer,
-			"this entry has no configuration yet").After(noServerRetry)
+			"the entry has no configuration yet").After(noServerRetryAfter)
 	}
 	header := string(x.ctx.Request.Header.Peek(fasthttp.HeaderAuthorization))
-	if !strings.HasPrefix(header, bearer) {
-		return failure.NotRun(failure.StepAuthenticate, "", failure.CodeUnauthorized, "Authorization: missing: send Bearer and your API key")
+	if !strings.HasPrefix(header, bearerPrefix) {
+		return failure.NotRun(failure.StepAuthenticate, "", failure.CodeUnauthorized, "Authorization: missing; send \"Bearer\" and your API key")
 	}
-	sum := sha256.Sum256([]byte(header[len(bearer):]))
-	x.customer = e.index.Load().index.CustomerByKeyHash(hex.EncodeToString(sum[:]))
+	sum := sha256.Sum256([]byte(header[len(bearerPrefix):]))
+	x.customer = e.snapshot.Load().index.CustomerByKeyHash(hex.EncodeToString(sum[:]))
 	if x.customer == nil {
 		return failure.NotRun(failure.StepAuthenticate, "", failure.CodeUnauthorized, "Authorization: unknown API key")
 	}
@@ -95,7 +95,7 @@
 }
 
 func (e *Entry) serveModels(x *exchange) {
-	body, err := httpapi.EncodeModels(e.index.Load().index.Models(x.customer, e.now()))
+	body, err := httpapi.EncodeModels(e.snapshot.Load().index.Models(x.customer, e.now()))
 	if err != nil {
 		writeFailure(x, failure.NotRun(failure.StepParse, "", failure.CodeInvalid, err.Error()))
 		return
@@ -104,7 +104,7 @@
 	x.ctx.SetBody(body)
 }
 
-// serveCancel cancels one of the customer's own requests at this entry.
+// serveCancel cancels a request in flight at this entry if it belongs to the customer.
 func (e *Entry) serveCancel(x *exchange, id string) {
 	if !x.ctx.IsDelete() {
 		writeFailure(x, failure.NotRun(failure.StepParse, "", failure.CodeInvalid, "method: use DELETE to cancel a request"))
@@ -114,7 +114,7 @@
 	cancel := e.cancels[requestRef{customer: x.customer.Name, requestID: id}]
 	e.mu.Unlock()
 	if cancel == nil {
-		writeFailure(x, failure.NotRun(failure.StepRoute, "", failure.CodeNotFound, "no such request of yours in flight at this entry"))
+		writeFailure(x, failure.NotRun(failure.StepRoute, "", failure.CodeNotFound, "you have no such request in flight at this entry"))
 		return
 	}
 	cancel(nil)
@@ -126,7 +126,7 @@
 		writeFailure(x, f)
 		return
 	}
-	if !e.enter(x) {
+	if !e.admit(x) {
 		writeFailure(x, failure.NotRun(failure.StepQueue, e.options.Name, failure.CodeOverloaded,
 			"customer.maxInFlight reached at this entry").After(time.Second))
 		return
@@ -134,14 +134,14 @@
 	e.execute(x)
 }
 
-// parse reads the request and finds its route.
+// parse reads the request and determines its route.
 func (e *Entry) parse(x *exchange, path string) *failure.Error {
 	if f := e.readBody(x); f != nil {
 		return f
 	}
 	now := e.now()
-	x.compiled = e.index.Load()
-	index := x.compiled.index
+	x.snapshot = e.snapshot.Load()
+	index := x.snapshot.index
 	if path == pathChat || path == pathCompletion {
 		if f := e.parseCompletion(x, index, now); f != nil {
 			return f
@@ -151,10 +151,10 @@
 		x.cost = 1
 	}
 	if x.route == nil {
-		return failure.NotRun(failure.StepRoute, "", failure.CodeNotFound, "no route of yours serves this path or model now; see /v1/models")
+		return failure.NotRun(failure.StepRoute, "", failure.CodeNotFound, "you have no active route for this path or model; see /v1/models")
 	}
-	x.homes = index.HomesOffset(x.route.Spec.Service)
-	intent, err := httpapi.ParseIntent(x.header, defaults(x.route), now, e.replica.View().Policy().ClockSkew())
+	x.homesOffset = index.HomesOffset(x.route.Spec.Service)
+	intent, err := httpapi.ParseIntent(x.header, defaultIntent(x.route), now, e.replica.View().Policy().ClockSkew())
 	if err != nil {
 		return failure.NotRun(failure.StepParse, "", failure.CodeInvalid, err.Error())
 	}
@@ -166,33 +166,33 @@
 	return nil
 }
 
-// drainBytes bounds what is read of a body over the limit, so that the caller
-// gets to read the refusal instead of a reset connection.
-const drainBytes = 64 << 20
+// maxDrainBytes bounds the bytes discarded from a body that is too large, so that the caller
+// can read the response before the connection closes.
+const maxDrainBytes = 64 << 20
 
 func (e *Entry) readBody(x *exchange) *failure.Error {
 	stream := x.ctx.RequestBodyStream()
 	if stream == nil {
-		x.body = bytes.Clone(x.ctx.PostBody()) // fasthttp uses its buffer again
+		x.body = bytes.Clone(x.ctx.PostBody()) // fasthttp reuses its buffer
 		return nil
 	}
 	body, err := io.ReadAll(io.LimitReader(stream, int64(e.options.MaxBody)+1))
 	if err != nil {
-		return failure.NotRun(failure.StepParse, "", failure.CodeInvalid, "body cut: "+err.Error())
+		return failure.NotRun(failure.StepParse, "", failure.CodeInvalid, "body incomplete: "+err.Error())
 	}
 	if len(body) > e.options.MaxBody {
-		// What the drain meets doesn't change the refusal.
-		_, _ = io.Copy(io.Discard, io.LimitReader(stream, drainBytes))
+		// An error while draining doesn't change the response.
+		_, _ = io.Copy(io.Discard, io.LimitReader(stream, maxDrainBytes))
 		x.ctx.SetConnectionClose()
 		return failure.NotRun(failure.StepParse, "", failure.CodeTooLarge,
-			fmt.Sprintf("body size over %d bytes: send less", e.options.MaxBody))
+			fmt.Sprintf("body size exceeds %d bytes", e.options.MaxBody))
 	}
 	x.body = body
 	return nil
 }
 
-// tracked tells whether the request must not be repeated and has a key: its home
-// decides about it.
+// tracked reports whether the request has an idempotency key and is not idempotent: the
+// home of its key then deduplicates it.
 func (x *exchange) tracked() bool { return x.intent.Key != "" && !x.intent.Idempotent }
 
 func (x *exchange) header(name string) string {
@@ -214,8 +214,9 @@
 	return nil
 }
 
-// defaults returns what the route and its service assume for silent requests.
-func defaults(route *selector.Route) httpapi.Intent {
+// defaultIntent returns the defaults of the route and its service for intent that a
+// request doesn't specify.
+func defaultIntent(route *selector.Route) httpapi.Intent {
 	intent := httpapi.Intent{
 		Class:      config.ClassNormal,
 		Deadline:   httpapi.DefaultDeadline,
@@ -234,12 +235,13 @@
 	return intent
 }
 
-// enter counts the request against its customer's bound.
-func (e *Entry) enter(x *exchange) bool {
+// admit counts the request against its customer's limit of requests in flight. It reports
+// whether the limit allows it.
+func (e *Entry) admit(x *exchange) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	bound := x.customer.Spec.MaxInFlight
-	if bound > 0 && e.inFlight[x.customer.Name] >= bound {
+	limit := x.customer.Spec.MaxInFlight
+	if limit > 0 && e.inFlight[x.customer.Name] >= bound {
 		return false
 	}
 	e.inFlight[x.customer.Name]++
@@ -247,8 +249,8 @@
 	return true
 }
 
-// leave forgets a request that has ended.
-func (e *Entry) leave(x *exchange) {
+// release removes a request that has ended.
+func (e *Entry) release(x *exchange) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.inFlight[x.customer.Name]--
@@ -258,16 +260,16 @@
 	delete(e.cancels, requestRef{customer: x.customer.Name, requestID: x.id})
 }
 
-// envelope is what agents need to know of the request.
+// envelope returns the request's metadata for agents.
 func (x *exchange) envelope() *wire.Envelope {
 	return &wire.Envelope{
 		RequestID: x.id, Customer: x.customer.Name, Weight: max(x.customer.Spec.Weight, 1),
-		Class: x.intent.Class, Idempotent: x.intent.Idempotent, Key: x.intent.Key, Cost: x.cost, Homes: x.homes,
+		Class: x.intent.Class, Idempotent: x.intent.Idempotent, Key: x.intent.Key, Cost: x.cost, Homes: x.homesOffset,
 	}
 }
 
-// noServerRetry is the hint when no server can take a request now.
-const noServerRetry = time.Second
+// noServerRetryAfter is the Retry-After hint while the entry has no configuration.
+const noServerRetryAfter = time.Second
 
 func writeFailure(x *exchange, f *failure.Error) {
 	response := &x.ctx.Response
