--- a/internal/crash/codec.go
+++ b/internal/crash/codec.go
@@ -7,58 +7,59 @@
 	"github.com/crowbridge/crowbridge/internal/quarantine"
 )
 
-// peerTable is up to where another daemon's table is known.
-type peerTable struct {
+// peerPosition is the position up to which a peer's table was received.
+type peerPosition struct {
 	id     uint64
 	change int64
 }
 
-// Digest says what this daemon knows, for a question to another at an address.
-func (w *Detector) Digest(peer string) *peerrpc.CrashesKnown {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	known := w.peers[peer]
-	return &peerrpc.CrashesKnown{Table: known.id, Change: known.change, Hash: w.table.Hash()}
+// Digest returns a summary of the local evidence for a pull from the peer.
+func (det *Detector) Digest(peer string) *peerrpc.CrashesKnown {
+	det.mu.Lock()
+	defer det.mu.Unlock()
+	position := det.peers[peer]
+	return &peerrpc.CrashesKnown{Table: position.id, Change: position.change, Hash: det.table.Hash()}
 }
 
-// Delta answers such a question.
-func (w *Detector) Delta(known *peerrpc.CrashesKnown) *peerrpc.CrashNews {
+// Delta returns the evidence that a peer with the given summary lacks.
+func (det *Detector) Delta(known *peerrpc.CrashesKnown) *peerrpc.CrashNews {
 	from := known.GetChange()
-	if known.GetTable() != w.tableID {
+	if known.GetTable() != det.tableID {
 		from = 0
 	}
-	evidence, change := w.table.Since(from)
-	if known.GetHash() == w.table.Hash() {
+	evidence, change := det.table.Since(from)
+	if known.GetHash() == det.table.Hash() {
 		evidence = nil
 	}
-	return &peerrpc.CrashNews{Table: w.tableID, Change: change, Evidence: Encode(evidence, w.now())}
+	return &peerrpc.CrashNews{Table: det.tableID, Change: change, Evidence: Encode(evidence, det.now())}
 }
 
-// Merge takes in the answer of a daemon at an address.
-func (w *Detector) ApplyDelta(peer string, news *peerrpc.CrashNews) {
-	if news == nil {
-		return // a daemon that keeps no table
+// ApplyDelta merges a peer's response to a pull.
+func (det *Detector) ApplyDelta(peer string, delta *peerrpc.CrashNews) {
+	if delta == nil {
+		return // the peer keeps no evidence
 	}
-	w.MergeEvidence(Decode(news.GetEvidence(), w.now()), "peer "+peer)
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.peers[peer] = peerTable{id: news.GetTable(), change: news.GetChange()}
+	det.MergeEvidence(Decode(delta.GetEvidence(), det.now()), "peer "+peer)
+	det.mu.Lock()
+	defer det.mu.Unlock()
+	det.peers[peer] = peerPosition{id: delta.GetTable(), change: delta.GetChange()}
 }
 
-// Forget forgets how far other daemons' tables are known, but for those at some addresses.
-func (w *Detector) RetainPeers(but []string) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	kept := make(map[string]peerTable, len(but))
-	for _, peer := range but {
-		if known, found := w.peers[peer]; found {
-			kept[peer] = known
+// RetainPeers drops the positions of all peers but the listed ones.
+func (det *Detector) RetainPeers(peers []string) {
+	det.mu.Lock()
+	defer det.mu.Unlock()
+	retained := make(map[string]peerPosition, len(peers))
+	for _, peer := range peers {
+		if position, ok := det.peers[peer]; ok {
+			retained[peer] = position
 		}
 	}
-	w.peers = kept
+	det.peers = retained
 }
 
-// Encode puts evidence into messages, with ages in place of times: clocks differ.
+// Encode converts evidence to messages. They carry ages instead of times, because clocks
+// differ.
 func Encode(evidence []quarantine.Evidence, now time.Time) []*peerrpc.CrashEvidence {
 	encoded := make([]*peerrpc.CrashEvidence, 0, len(evidence))
 	for _, e := range evidence {
@@ -69,16 +70,16 @@
 	return encoded
 }
 
-// oldest bounds an age that is told: tables forget what is older than a day.
-const oldest = 48 * time.Hour
+// maxAge bounds received ages. Tables drop evidence older than a day.
+const maxAge = 48 * time.Hour
 
-// age reads one in milliseconds, within bounds: too large a number of them would be a time
-// to come.
+// age converts milliseconds to a duration within [0, maxAge], since an overflow would give a
+// time in the future.
 func age(ms int64) time.Duration {
-	return time.Duration(min(max(ms, 0), oldest.Milliseconds())) * time.Millisecond
+	return time.Duration(min(max(ms, 0), maxAge.Milliseconds())) * time.Millisecond
 }
 
-// Decode reads such messages, and leaves out what has no digest or server.
+// Decode converts messages to evidence. It skips messages without a valid digest or server.
 func Decode(messages []*peerrpc.CrashEvidence, now time.Time) []quarantine.Evidence {
 	evidence := make([]quarantine.Evidence, 0, len(messages))
 	for _, m := range messages {
--- a/internal/crash/codec_test.go
+++ b/internal/crash/codec_test.go
@@ -9,8 +9,9 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// FuzzNews: no datagram makes a daemon panic, and what it takes in it tells on as it is.
-func FuzzNews(f *testing.F) {
+// FuzzDecode checks that no datagram causes a panic or a time in the future, and that accepted
+// evidence survives re-encoding.
+func FuzzDecode(f *testing.F) {
 	now := time.Unix(100000, 0)
 	d := quarantine.DigestOf("c", "POST", "h", "/", nil)
 	good, err := proto.Marshal(&peerrpc.CrashNews{Evidence: Encode([]quarantine.Evidence{
@@ -37,12 +38,12 @@
 		known, _ := table.Since(0)
 		for _, e := range known {
 			if e.ExitedAt.After(now) {
-				t.Fatalf("%s ends at %v, which is to come", e.Server, e.ExitedAt)
+				t.Fatalf("exit of %s is at %v, in the future", e.Server, e.ExitedAt)
 			}
 		}
 		other.Merge(Decode(Encode(known, now), now), now)
 		if table.Hash() != other.Hash() {
-			t.Fatalf("%d pieces of evidence aren't told on as they are", len(known))
+			t.Fatalf("%d pieces of evidence changed by re-encoding", len(known))
 		}
 	})
 }
--- a/internal/crash/detector.go
+++ b/internal/crash/detector.go
@@ -1,5 +1,5 @@
-// Package crash finds out whether servers that cut requests off have ended, tells
-// other daemons, and keeps the quarantine of requests that end their servers.
+// Package crash detects servers that exit while they run requests, shares the evidence with
+// peers, and persists the quarantine of requests that crash servers.
 package crash
 
 import (
@@ -16,263 +16,265 @@
 	"github.com/sirupsen/logrus"
 )
 
-// Liveness is what a probe says of a server.
+// Liveness is the result of a probe.
 type Liveness int
 
-// What a probe can say.
 const (
-	// Unknown servers didn't answer: they may be cut off.
+	// Unknown means no response: the server may be partitioned.
 	Unknown Liveness = iota
-	// Listening servers accept connections.
+	// Listening means that the server accepts connections.
 	Listening
-	// Ended servers have nobody who listens at their address.
+	// Exited means that no process listens at the server's address.
 	Exited
 )
 
-// Prober looks whether a server's process listens.
+// Prober checks whether a server's process listens.
 type Prober interface {
 	Probe(ctx context.Context, server *fleet.Server) Liveness
 }
 
 const (
-	// probeDelay is how long after an attempt was cut off its server is probed: a process
-	// that ends may close its connections a little before it stops listening.
+	// probeDelay is the time from a lost connection to the probe: an exiting process may close
+	// its connections slightly before its listening socket.
 	probeDelay = 100 * time.Millisecond
-	// rankProbeDelay replaces it for ranks of groups: the agents beside them tell sooner,
-	// and a group that breaks cuts off what all its ranks run. Agents tell each 0.4 s at
-	// least.
+	// rankProbeDelay replaces probeDelay for ranks of groups. Their agents report at least
+	// every 0.4 s, and a group failure affects requests at all ranks at once.
 	rankProbeDelay = 700 * time.Millisecond
 	// probeTimeout bounds a probe.
 	probeTimeout = 300 * time.Millisecond
-	// reportLag is how long after an attempt was cut off an agent's report shows that the
-	// engine lives on, and soonestRestart up to when it can't be the engine's next start.
-	reportLag      = 250 * time.Millisecond
-	soonestRestart = time.Second
-	// newsQueue is how many pieces of news may wait to be sent: what is over reaches the
-	// others when they ask.
-	newsQueue = 256
+	// reportDelay is the time from a lost connection until an agent's report is certain to
+	// postdate it. A report after minRestartTime may describe a restarted engine.
+	reportDelay    = 250 * time.Millisecond
+	minRestartTime = time.Second
+	// updateQueueSize bounds the queued updates. Peers receive dropped updates with their next
+	// pull.
+	updateQueueSize = 256
 )
 
-// Watch keeps a daemon's evidence and finds out what is missing of it. Safe for
-// concurrent use.
+// Detector holds a daemon's evidence and resolves lost connections. It is safe for concurrent
+// use.
 type Detector struct {
-	table  *quarantine.Table
-	prober Prober
-	now    func() time.Time
-	after  func(time.Duration, func())
-	log    *logrus.Entry
-	news   chan []quarantine.Evidence
-	// tableID names the table to other daemons; never 0, which stands for none.
+	table     *quarantine.Table
+	prober    Prober
+	now       func() time.Time
+	afterFunc func(time.Duration, func())
+	log       *logrus.Entry
+	updates   chan []quarantine.Evidence
+	// tableID identifies the table to peers; never 0, which stands for none.
 	tableID uint64
-	// changed gets a value when the quarantines may have changed.
+	// changed receives a value when the quarantines may have changed.
 	changed chan struct{}
-	// bars tells why a server gets no requests by its own word, or nil.
-	bars func(server string) *eligibility.Exclusion
+	// exclusion returns why a server may receive no requests by its own report, or nil.
+	exclusion func(server string) *eligibility.Exclusion
 
-	mu sync.Mutex // taken before the table's
-	// servers is the registry as last seen.
+	mu sync.Mutex // acquired before the table's lock
+	// servers is the latest state of the registry.
 	servers *fleet.Servers
-	// lastCuts are when attempts were cut off at ranks last, by server.
-	lastCuts map[string]time.Time
-	// peers is what is known of other daemons' tables, by address.
-	peers map[string]peerTable
+	// lastLosses are the times of the last lost connections to ranks, by server.
+	lastLosses map[string]time.Time
+	// peers are the positions in peers' tables, by address.
+	peers map[string]peerPosition
 }
 
-// New returns a watch. after calls a function after a time.
-func New(prober Prober, now func() time.Time, after func(time.Duration, func()), log *logrus.Entry) *Detector {
+// New returns a detector. afterFunc schedules a function call.
+func New(prober Prober, now func() time.Time, afterFunc func(time.Duration, func()), log *logrus.Entry) *Detector {
 	return &Detector{
-		table: quarantine.NewTable(), prober: prober, now: now, after: after, log: log,
-		news: make(chan []quarantine.Evidence, newsQueue), tableID: rand.Uint64() | 1, changed: make(chan struct{}, 1),
-		lastCuts: map[string]time.Time{}, peers: map[string]peerTable{},
-		bars: func(string) *eligibility.Exclusion { return nil },
+		table: quarantine.NewTable(), prober: prober, now: now, afterFunc: afterFunc, log: log,
+		updates: make(chan []quarantine.Evidence, updateQueueSize), tableID: rand.Uint64() | 1, changed: make(chan struct{}, 1),
+		lastLosses: map[string]time.Time{}, peers: map[string]peerPosition{},
+		exclusion: func(string) *eligibility.Exclusion { return nil },
 	}
 }
 
-// SetBars makes the watch heed what servers say of themselves. Call it before the first
-// request.
-func (w *Detector) SetExclusions(bars func(server string) *eligibility.Exclusion) { w.bars = bars }
+// SetExclusions sets the source of the servers' self-reported exclusions. Call it before the
+// first request.
+func (det *Detector) SetExclusions(exclusion func(server string) *eligibility.Exclusion) {
+	det.exclusion = exclusion
+}
 
-// leaves tells whether a server is to leave, by its registration or its own word.
-func (w *Detector) leaves(server *fleet.Server) bool {
+// isLeaving reports whether a server is leaving, by its registration or its own report.
+func (det *Detector) isLeaving(server *fleet.Server) bool {
 	if server.Leaving {
 		return true
 	}
-	bar := w.bars(server.Key())
-	return bar != nil && bar.Reason == eligibility.Leaving
+	exclusion := det.exclusion(server.Key())
+	return exclusion != nil && exclusion.Reason == eligibility.Leaving
 }
 
 // Empty implements dispatch.Quarantine.
-func (w *Detector) Empty() bool { return w.table.Empty() }
+func (det *Detector) Empty() bool { return det.table.Empty() }
 
 // Admit implements dispatch.Quarantine.
-func (w *Detector) Admit(d quarantine.Digest) quarantine.Decision { return w.table.Admit(d, w.now()) }
+func (det *Detector) Admit(d quarantine.Digest) quarantine.Decision {
+	return det.table.Admit(d, det.now())
+}
 
 // Release implements dispatch.Quarantine.
-func (w *Detector) Release(d quarantine.Digest) { w.table.Release(d) }
+func (det *Detector) Release(d quarantine.Digest) { det.table.Release(d) }
 
 // MarkServed implements dispatch.Quarantine.
-func (w *Detector) MarkServed(d quarantine.Digest) {
-	if cleared := w.table.MarkServed(d); len(cleared) > 0 {
-		w.log.WithFields(logrus.Fields{"digest": d, "servers": len(cleared)}).Info("request cleared: it has run to a good end")
-		w.tell(cleared)
-		w.wake()
+func (det *Detector) MarkServed(d quarantine.Digest) {
+	if cleared := det.table.MarkServed(d); len(cleared) > 0 {
+		det.log.WithFields(logrus.Fields{"digest": d, "servers": len(cleared)}).Info("request cleared after it completed successfully")
+		det.publish(cleared)
+		det.notifyStore()
 	}
 }
 
-// ConnectionLost implements dispatch.Quarantine. What a server that is to leave cuts off says
-// nothing against the request.
-func (w *Detector) ConnectionLost(d quarantine.Digest, about quarantine.RequestInfo, server *fleet.Server) {
-	if registered := w.registered(server.Key()); registered == nil || w.leaves(registered) {
+// ConnectionLost implements dispatch.Quarantine. Connections lost at leaving servers are not
+// evidence against the request.
+func (det *Detector) ConnectionLost(d quarantine.Digest, info quarantine.RequestInfo, server *fleet.Server) {
+	if registered := det.registered(server.Key()); registered == nil || det.isLeaving(registered) {
 		return
 	}
-	now := w.now()
+	now := det.now()
 	delay := probeDelay
 	if server.Rank != nil {
 		delay = rankProbeDelay
-		w.mu.Lock()
-		w.lastCuts[server.Key()] = now
-		w.mu.Unlock()
+		det.mu.Lock()
+		det.lastLosses[server.Key()] = now
+		det.mu.Unlock()
 	}
-	if w.table.ConnectionLost(d, about, server.Key(), now) {
-		w.after(delay, func() { w.probe(server) })
+	if det.table.ConnectionLost(d, info, server.Key(), now) {
+		det.afterFunc(delay, func() { det.probe(server) })
 	}
 }
 
-func (w *Detector) registered(key string) *fleet.Server {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if w.servers == nil {
+func (det *Detector) registered(key string) *fleet.Server {
+	det.mu.Lock()
+	defer det.mu.Unlock()
+	if det.servers == nil {
 		return nil
 	}
-	return w.servers.ByKey(key)
+	return det.servers.ByKey(key)
 }
 
-// probe finds out whether a server has ended, unless that is known by now.
-func (w *Detector) probe(server *fleet.Server) {
-	if !w.table.ExitPending(server.Key(), w.now()) {
+// probe determines whether a server exited, unless that is known already.
+func (det *Detector) probe(server *fleet.Server) {
+	if !det.table.ExitPending(server.Key(), det.now()) {
 		return
 	}
-	began := w.now()
-	if bar := w.bars(server.Key()); bar != nil {
-		w.log.WithFields(logrus.Fields{"server": server.ID, "reason": bar.Reason}).
-			Info("server cut requests off and isn't probed, by its own word: taken for alive until it's known to have ended")
-		w.table.MarkAlive(server.Key(), began)
+	startedAt := det.now()
+	if exclusion := det.exclusion(server.Key()); exclusion != nil {
+		det.log.WithFields(logrus.Fields{"server": server.ID, "reason": exclusion.Reason}).
+			Info("server lost connections and is excluded: not probed, presumed alive")
+		det.table.MarkAlive(server.Key(), startedAt)
 		return
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), probeTimeout)
 	defer cancel()
-	switch w.prober.Probe(ctx, server) {
+	switch det.prober.Probe(ctx, server) {
 	case Exited:
-		w.MarkExited(server.Key(), "nobody listens at its address")
+		det.MarkExited(server.Key(), "connection refused by its address")
 	case Listening:
-		w.table.MarkAlive(server.Key(), began)
+		det.table.MarkAlive(server.Key(), startedAt)
 	case Unknown:
-		w.log.WithFields(logrus.Fields{"server": server.ID, "address": server.Address}).
-			Info("server cut requests off and can't be reached: taken for alive until it's known to have ended")
-		w.table.MarkAlive(server.Key(), began)
+		det.log.WithFields(logrus.Fields{"server": server.ID, "address": server.Address}).
+			Info("server lost connections and is unreachable: presumed alive")
+		det.table.MarkAlive(server.Key(), startedAt)
 	}
 }
 
-// MarkExited implements dispatch.Quarantine: a server has ended, as cause shows.
-func (w *Detector) MarkExited(server, cause string) {
-	found := w.table.MarkExited(server, w.now())
-	if len(found) == 0 {
+// MarkExited implements dispatch.Quarantine.
+func (det *Detector) MarkExited(server, cause string) {
+	evidence := det.table.MarkExited(server, det.now())
+	if len(evidence) == 0 {
 		return
 	}
 	metrics.GetOrCreateCounter(`crowbridge_servers_ended_under_requests_total`).Inc()
-	w.log.WithFields(logrus.Fields{"server": server, "cause": cause, "requests": len(found)}).
-		Warn("server ended with requests in progress")
-	w.tell(found)
-	w.after(quarantine.SettleTime, w.wake)
+	det.log.WithFields(logrus.Fields{"server": server, "cause": cause, "requests": len(evidence)}).
+		Warn("server exited with requests in progress")
+	det.publish(evidence)
+	det.afterFunc(quarantine.SettleTime, det.notifyStore)
 }
 
-// wake makes the keeper look at once.
-func (w *Detector) wake() {
+// notifyStore triggers a check by the store.
+func (det *Detector) notifyStore() {
 	select {
-	case w.changed <- struct{}{}:
-	default: // it will look
+	case det.changed <- struct{}{}:
+	default: // a check is pending
 	}
 }
 
-// tell puts evidence into the queue for other daemons.
-func (w *Detector) tell(evidence []quarantine.Evidence) {
+// publish queues evidence for peers.
+func (det *Detector) publish(evidence []quarantine.Evidence) {
 	select {
-	case w.news <- evidence:
+	case det.updates <- evidence:
 	default:
-		w.log.WithField("evidence", len(evidence)).Info("evidence not sent, too much is waiting: others hear of it when they ask")
+		det.log.WithField("evidence", len(evidence)).Info("update queue full, evidence left to the peers' next pull")
 	}
 }
 
-// News is the evidence that this daemon has found and others should hear of at once.
-func (w *Detector) Updates() <-chan []quarantine.Evidence { return w.news }
+// Updates returns the channel of evidence that is to be sent to peers at once.
+func (det *Detector) Updates() <-chan []quarantine.Evidence { return det.updates }
 
-// Hear takes in another daemon's evidence.
-func (w *Detector) MergeEvidence(evidence []quarantine.Evidence, source string) {
-	news := w.table.Merge(evidence, w.now())
-	if len(news) == 0 {
+// MergeEvidence merges evidence received from a peer.
+func (det *Detector) MergeEvidence(evidence []quarantine.Evidence, source string) {
+	added := det.table.Merge(evidence, det.now())
+	if len(added) == 0 {
 		return
 	}
-	w.log.WithFields(logrus.Fields{"evidence": len(news), "source": source}).Info("servers that ended under requests heard of")
-	w.after(quarantine.SettleTime, w.wake)
+	det.log.WithFields(logrus.Fields{"evidence": len(added), "source": source}).Info("evidence of server exits received")
+	det.afterFunc(quarantine.SettleTime, det.notifyStore)
 }
 
-// SetEngineReachable takes in what the agent beside a server says of it: that its engine answers, or
-// that nobody listens where it did.
-func (w *Detector) SetEngineReachable(server string, answers bool) {
-	if !answers {
-		w.MarkExited(server, "its agent finds nobody listening")
+// SetEngineReachable applies the report of a server's agent on whether its engine accepts
+// connections.
+func (det *Detector) SetEngineReachable(server string, reachable bool) {
+	if !reachable {
+		det.MarkExited(server, "engine unreachable by its agent")
 		return
 	}
-	w.mu.Lock()
-	cut, found := w.lastCuts[server]
-	w.mu.Unlock()
+	det.mu.Lock()
+	lostAt, found := det.lastLosses[server]
+	det.mu.Unlock()
 	if !found {
 		return
 	}
-	if age := w.now().Sub(cut); age >= reportLag {
-		if age < soonestRestart {
-			w.table.MarkAlive(server, cut)
+	if age := det.now().Sub(lostAt); age >= reportDelay {
+		if age < minRestartTime {
+			det.table.MarkAlive(server, lostAt)
 		}
-		w.mu.Lock()
-		delete(w.lastCuts, server)
-		w.mu.Unlock()
+		det.mu.Lock()
+		delete(det.lastLosses, server)
+		det.mu.Unlock()
 	}
 }
 
-// Keep takes in a state of the registry: servers that are gone without having said that
-// they leave, and those that have started again, have ended.
-func (w *Detector) UpdateRegistry(servers *fleet.Servers) {
-	before := w.SetServers(servers)
-	if before == nil {
+// UpdateRegistry applies a state of the registry. Servers that disappeared without leaving, or
+// that restarted, are marked as exited.
+func (det *Detector) UpdateRegistry(servers *fleet.Servers) {
+	previousServers := det.SetServers(servers)
+	if previousServers == nil {
 		return
 	}
-	for id, old := range before.All() {
+	for id, previous := range previousServers.All() {
 		current := servers.ByID(id)
 		switch {
-		case current == nil && !w.leaves(old):
-			w.MarkExited(old.Key(), "its registration is gone")
-		case current != nil && current.Key() != old.Key():
-			w.MarkExited(old.Key(), "it has started again")
+		case current == nil && !det.isLeaving(previous):
+			det.MarkExited(previous.Key(), "registration gone")
+		case current != nil && current.Key() != previous.Key():
+			det.MarkExited(previous.Key(), "restarted")
 		}
 	}
 }
 
-// SetServers takes in the servers that operators list: one that is no longer listed hasn't
-// ended for it. It returns those before.
-func (w *Detector) SetServers(servers *fleet.Servers) (before *fleet.Servers) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	before, w.servers = w.servers, servers
-	maps.DeleteFunc(w.lastCuts, func(key string, _ time.Time) bool { return servers.ByKey(key) == nil })
-	return before
+// SetServers sets the servers from the operators' list and returns the previous ones. Removal
+// from this list does not count as an exit.
+func (det *Detector) SetServers(servers *fleet.Servers) (previous *fleet.Servers) {
+	det.mu.Lock()
+	defer det.mu.Unlock()
+	previous, det.servers = det.servers, servers
+	maps.DeleteFunc(det.lastLosses, func(key string, _ time.Time) bool { return servers.ByKey(key) == nil })
+	return previous
 }
 
-// Table is the daemon's evidence.
-func (w *Detector) Table() *quarantine.Table { return w.table }
+// Table returns the daemon's evidence.
+func (det *Detector) Table() *quarantine.Table { return det.table }
 
-// release ends a quarantine, as the operators say.
-func (w *Detector) release(d quarantine.Digest) {
-	if cleared := w.table.EndQuarantine(d); len(cleared) > 0 {
-		w.tell(cleared)
+// endQuarantine releases a request on an operator's command.
+func (det *Detector) endQuarantine(d quarantine.Digest) {
+	if cleared := det.table.EndQuarantine(d); len(cleared) > 0 {
+		det.publish(cleared)
 	}
 }
--- a/internal/crash/detector_test.go
+++ b/internal/crash/detector_test.go
@@ -28,51 +28,51 @@
 	RunSpecs(t, "crash")
 }
 
-// world is what a watch sees of servers, with a clock that a spec moves.
-type world struct {
+// testEnv simulates servers, timers and a clock.
+type testEnv struct {
 	now    time.Time
-	due    []func() // what waits for a time
+	timers []func() // pending callbacks
 	probes map[string]Liveness
 	probed []string
 	logs   *logrustest.Hook
 }
 
-func (w *world) Probe(_ context.Context, server *fleet.Server) Liveness {
+func (w *testEnv) Probe(_ context.Context, server *fleet.Server) Liveness {
 	w.probed = append(w.probed, server.Address)
 	return w.probes[server.Address]
 }
 
-// pass lets what waits happen.
-func (w *world) pass(d time.Duration) {
+// advance moves the clock and runs all pending callbacks.
+func (w *testEnv) advance(d time.Duration) {
 	w.now = w.now.Add(d)
-	due := w.due
-	w.due = nil
+	due := w.timers
+	w.timers = nil
 	for _, f := range due {
 		f()
 	}
 }
 
-func newWorld() (*world, *Detector) {
-	w := &world{now: time.Unix(1000, 0), probes: map[string]Liveness{}}
+func newTestDetector() (*testEnv, *Detector) {
+	w := &testEnv{now: time.Unix(1000, 0), probes: map[string]Liveness{}}
 	logger, logs := logrustest.NewNullLogger()
 	w.logs = logs
-	watch := New(w, func() time.Time { return w.now }, func(_ time.Duration, f func()) { w.due = append(w.due, f) }, logrus.NewEntry(logger))
-	watch.UpdateRegistry(registry())
-	return w, watch
+	detector := New(w, func() time.Time { return w.now }, func(_ time.Duration, f func()) { w.timers = append(w.timers, f) }, logrus.NewEntry(logger))
+	detector.UpdateRegistry(registry())
+	return w, detector
 }
 
 var (
-	plainA = &fleet.Server{ID: "a", Address: "10.0.0.1:80", Service: "s"}
-	plainB = &fleet.Server{ID: "b", Address: "10.0.0.2:80", Service: "s"}
-	leaves = &fleet.Server{ID: "l", Address: "10.0.0.3:80", Service: "s", Leaving: true}
-	rank   = &fleet.Server{ID: "r", Address: "10.0.0.4:80", Service: "m", Rank: &fleet.GroupRank{Group: "g", Epoch: 1, Open: true}}
+	serverA       = &fleet.Server{ID: "a", Address: "10.0.0.1:80", Service: "s"}
+	serverB       = &fleet.Server{ID: "b", Address: "10.0.0.2:80", Service: "s"}
+	leavingServer = &fleet.Server{ID: "l", Address: "10.0.0.3:80", Service: "s", Leaving: true}
+	rankServer    = &fleet.Server{ID: "r", Address: "10.0.0.4:80", Service: "m", Rank: &fleet.GroupRank{Group: "g", Epoch: 1, Open: true}}
 )
 
-// registry has all servers but for those left out.
+// registry returns all servers except the given ones.
 func registry(but ...*fleet.Server) *fleet.Servers {
 	var list []*fleet.Server
 next:
-	for _, server := range []*fleet.Server{plainA, plainB, leaves, rank} {
+	for _, server := range []*fleet.Server{serverA, serverB, leavingServer, rankServer} {
 		for _, other := range but {
 			if server == other {
 				continue next
@@ -83,18 +83,18 @@
 	return fleet.NewServers(list)
 }
 
-var _ = Describe("a server that cuts a request off", func() {
-	var w *world
-	var watch *Detector
+var _ = Describe("a server that loses a request's connection", func() {
+	var w *testEnv
+	var detector *Detector
 	d := quarantine.DigestOf("c", "POST", "h", "/", nil)
 
-	BeforeEach(func() { w, watch = newWorld() })
+	BeforeEach(func() { w, detector = newTestDetector() })
 
-	held := func() quarantine.State { return watch.Table().Decision(d, w.now).State }
-	told := func() (evidence []quarantine.Evidence) {
+	state := func() quarantine.State { return detector.Table().Decision(d, w.now).State }
+	published := func() (evidence []quarantine.Evidence) {
 		for {
 			select {
-			case news := <-watch.Updates():
+			case news := <-detector.Updates():
 				evidence = append(evidence, news...)
 			default:
 				return evidence
@@ -102,141 +102,141 @@
 		}
 	}
 
-	It("has ended when nobody listens there", func() {
-		w.probes[plainA.Address] = Exited
-		watch.ConnectionLost(d, quarantine.RequestInfo{Customer: "c", Path: "/"}, plainA)
-		w.pass(probeDelay)
-		Expect(held()).To(Equal(quarantine.Suspect))
-		Expect(told()).To(HaveLen(1))
-		Expect(w.logs.LastEntry().Message).To(Equal("server ended with requests in progress"))
+	It("is marked as exited when the probe is refused", func() {
+		w.probes[serverA.Address] = Exited
+		detector.ConnectionLost(d, quarantine.RequestInfo{Customer: "c", Path: "/"}, serverA)
+		w.advance(probeDelay)
+		Expect(state()).To(Equal(quarantine.Suspect))
+		Expect(published()).To(HaveLen(1))
+		Expect(w.logs.LastEntry().Message).To(Equal("server exited with requests in progress"))
 	})
 
-	It("is probed once, however many requests it cuts off", func() {
-		watch.ConnectionLost(d, quarantine.RequestInfo{Customer: "c", Path: "/"}, plainA)
-		watch.ConnectionLost(quarantine.DigestOf("c", "POST", "h", "/other", nil), quarantine.RequestInfo{}, plainA)
-		w.pass(probeDelay)
+	It("is probed once for several lost connections", func() {
+		detector.ConnectionLost(d, quarantine.RequestInfo{Customer: "c", Path: "/"}, serverA)
+		detector.ConnectionLost(quarantine.DigestOf("c", "POST", "h", "/other", nil), quarantine.RequestInfo{}, serverA)
+		w.advance(probeDelay)
 		Expect(w.probed).To(HaveLen(1))
 	})
 
-	It("lives when it listens, until its registration goes", func() {
-		w.probes[plainA.Address] = Listening
-		watch.ConnectionLost(d, quarantine.RequestInfo{Customer: "c", Path: "/"}, plainA)
-		w.pass(probeDelay)
-		Expect(held()).To(Equal(quarantine.Healthy))
-		watch.UpdateRegistry(registry(plainA))
-		Expect(held()).To(Equal(quarantine.Suspect))
+	It("is presumed alive when it listens, until its registration is gone", func() {
+		w.probes[serverA.Address] = Listening
+		detector.ConnectionLost(d, quarantine.RequestInfo{Customer: "c", Path: "/"}, serverA)
+		w.advance(probeDelay)
+		Expect(state()).To(Equal(quarantine.Healthy))
+		detector.UpdateRegistry(registry(serverA))
+		Expect(state()).To(Equal(quarantine.Suspect))
 	})
 
-	It("has ended when it registers with another start", func() {
-		again := *plainA
+	It("is marked as exited when it registers with another incarnation", func() {
+		again := *serverA
 		again.Incarnation = "a@7"
-		watch.ConnectionLost(d, quarantine.RequestInfo{Customer: "c", Path: "/"}, plainA)
-		watch.UpdateRegistry(fleet.NewServers([]*fleet.Server{&again, plainB, leaves, rank}))
-		Expect(held()).To(Equal(quarantine.Suspect))
-		Expect(told()).To(HaveLen(1))
+		detector.ConnectionLost(d, quarantine.RequestInfo{Customer: "c", Path: "/"}, serverA)
+		detector.UpdateRegistry(fleet.NewServers([]*fleet.Server{&again, serverB, leavingServer, rankServer}))
+		Expect(state()).To(Equal(quarantine.Suspect))
+		Expect(published()).To(HaveLen(1))
 	})
 
-	It("isn't probed while it wants nothing by its own word, and says nothing against the request once it leaves by it", func() {
+	It("is not probed while it rests, and is no evidence against the request once it reports leaving", func() {
 		bars := map[string]*eligibility.Exclusion{"a": {Reason: eligibility.Resting}}
-		watch.SetExclusions(func(server string) *eligibility.Exclusion { return bars[server] })
-		watch.ConnectionLost(d, quarantine.RequestInfo{Customer: "c", Path: "/"}, plainA)
-		w.pass(probeDelay)
+		detector.SetExclusions(func(server string) *eligibility.Exclusion { return bars[server] })
+		detector.ConnectionLost(d, quarantine.RequestInfo{Customer: "c", Path: "/"}, serverA)
+		w.advance(probeDelay)
 		Expect(w.probed).To(BeEmpty())
-		Expect(held()).To(Equal(quarantine.Healthy))
-		Expect(w.logs.LastEntry().Message).To(ContainSubstring("isn't probed"))
+		Expect(state()).To(Equal(quarantine.Healthy))
+		Expect(w.logs.LastEntry().Message).To(ContainSubstring("not probed"))
 		bars["b"] = &eligibility.Exclusion{Reason: eligibility.Leaving}
-		watch.ConnectionLost(d, quarantine.RequestInfo{Customer: "c", Path: "/"}, plainB)
-		watch.UpdateRegistry(registry(plainB))
-		Expect(held()).To(Equal(quarantine.Healthy))
-		Expect(told()).To(BeEmpty())
+		detector.ConnectionLost(d, quarantine.RequestInfo{Customer: "c", Path: "/"}, serverB)
+		detector.UpdateRegistry(registry(serverB))
+		Expect(state()).To(Equal(quarantine.Healthy))
+		Expect(published()).To(BeEmpty())
 	})
 
-	It("says nothing against the request when it was to leave, or has left", func() {
-		watch.ConnectionLost(d, quarantine.RequestInfo{Customer: "c", Path: "/"}, leaves)
-		watch.UpdateRegistry(registry(plainB))
-		watch.ConnectionLost(d, quarantine.RequestInfo{Customer: "c", Path: "/"}, plainB)
-		watch.UpdateRegistry(registry(plainB, leaves))
-		w.pass(probeDelay)
+	It("is no evidence against the request when it was leaving or has left", func() {
+		detector.ConnectionLost(d, quarantine.RequestInfo{Customer: "c", Path: "/"}, leavingServer)
+		detector.UpdateRegistry(registry(serverB))
+		detector.ConnectionLost(d, quarantine.RequestInfo{Customer: "c", Path: "/"}, serverB)
+		detector.UpdateRegistry(registry(serverB, leavingServer))
+		w.advance(probeDelay)
 		Expect(w.probed).To(BeEmpty())
-		Expect(told()).To(BeEmpty())
+		Expect(published()).To(BeEmpty())
 	})
 
-	It("beside an agent is known sooner, without a probe", func() {
-		watch.ConnectionLost(d, quarantine.RequestInfo{Customer: "c", Path: "/"}, rank)
-		w.now = w.now.Add(reportLag)
-		watch.SetEngineReachable("r", false)
-		Expect(held()).To(Equal(quarantine.Suspect))
-		w.pass(rankProbeDelay)
+	It("is marked as exited by its agent's report, without a probe", func() {
+		detector.ConnectionLost(d, quarantine.RequestInfo{Customer: "c", Path: "/"}, rankServer)
+		w.now = w.now.Add(reportDelay)
+		detector.SetEngineReachable("r", false)
+		Expect(state()).To(Equal(quarantine.Suspect))
+		w.advance(rankProbeDelay)
 		Expect(w.probed).To(BeEmpty())
 	})
 
-	It("beside an agent lives when its engine answers after that, but not when it's back", func() {
-		watch.ConnectionLost(d, quarantine.RequestInfo{Customer: "c", Path: "/"}, rank)
-		watch.SetEngineReachable("r", true)
-		Expect(held()).To(Equal(quarantine.Suspect), "the report may be from before")
-		w.now = w.now.Add(reportLag)
-		watch.SetEngineReachable("r", true)
-		Expect(held()).To(Equal(quarantine.Healthy))
-		watch.ConnectionLost(d, quarantine.RequestInfo{Customer: "c", Path: "/"}, rank)
-		w.now = w.now.Add(soonestRestart)
-		watch.SetEngineReachable("r", true)
-		Expect(held()).To(Equal(quarantine.Suspect))
-		w.probes[rank.Address] = Exited
-		w.pass(0)
-		Expect(told()).To(HaveLen(1))
+	It("is presumed alive when a later report shows its engine reachable, unless it may have restarted", func() {
+		detector.ConnectionLost(d, quarantine.RequestInfo{Customer: "c", Path: "/"}, rankServer)
+		detector.SetEngineReachable("r", true)
+		Expect(state()).To(Equal(quarantine.Suspect), "the report may predate the loss")
+		w.now = w.now.Add(reportDelay)
+		detector.SetEngineReachable("r", true)
+		Expect(state()).To(Equal(quarantine.Healthy))
+		detector.ConnectionLost(d, quarantine.RequestInfo{Customer: "c", Path: "/"}, rankServer)
+		w.now = w.now.Add(minRestartTime)
+		detector.SetEngineReachable("r", true)
+		Expect(state()).To(Equal(quarantine.Suspect))
+		w.probes[rankServer.Address] = Exited
+		w.advance(0)
+		Expect(published()).To(HaveLen(1))
 	})
 
-	It("and another one make the request known everywhere, however others hear of it", func() {
-		_, asked := newWorld()
-		_, sent := newWorld()
-		watch.ConnectionLost(d, quarantine.RequestInfo{Customer: "c", Path: "/"}, plainA)
-		watch.MarkExited("a", "spec")
-		asked.ApplyDelta("here", watch.Delta(asked.Digest("here")))
-		Expect(asked.Table().Decision(d, w.now).State).To(Equal(quarantine.Suspect))
-		watch.ConnectionLost(d, quarantine.RequestInfo{Customer: "c", Path: "/"}, plainB)
-		watch.MarkExited("b", "spec")
-		news := watch.Delta(asked.Digest("here"))
-		Expect(news.GetEvidence()).To(HaveLen(1), "only what has changed")
-		asked.ApplyDelta("here", news)
-		sent.MergeEvidence(Decode(Encode(told(), w.now), w.now), "spec")
-		for _, other := range []*Detector{asked, sent} {
+	It("and another one quarantine the request at all daemons, by pull and by push", func() {
+		_, puller := newTestDetector()
+		_, receiver := newTestDetector()
+		detector.ConnectionLost(d, quarantine.RequestInfo{Customer: "c", Path: "/"}, serverA)
+		detector.MarkExited("a", "spec")
+		puller.ApplyDelta("here", detector.Delta(puller.Digest("here")))
+		Expect(puller.Table().Decision(d, w.now).State).To(Equal(quarantine.Suspect))
+		detector.ConnectionLost(d, quarantine.RequestInfo{Customer: "c", Path: "/"}, serverB)
+		detector.MarkExited("b", "spec")
+		news := detector.Delta(puller.Digest("here"))
+		Expect(news.GetEvidence()).To(HaveLen(1), "only changed evidence")
+		puller.ApplyDelta("here", news)
+		receiver.MergeEvidence(Decode(Encode(published(), w.now), w.now), "spec")
+		for _, other := range []*Detector{puller, receiver} {
 			other.now = func() time.Time { return w.now.Add(time.Second) }
 			Expect(other.Admit(d).State).To(Equal(quarantine.Quarantined))
 		}
-		Expect(watch.Delta(sent.Digest("here")).GetEvidence()).To(BeEmpty(), "they agree")
+		Expect(detector.Delta(receiver.Digest("here")).GetEvidence()).To(BeEmpty(), "the tables agree")
 	})
 })
 
-var _ = Describe("entries of the product's own API", func() {
-	It("tell each other at once, and ask for what they missed", func() {
+var _ = Describe("entries with RPC gossip", func() {
+	It("push evidence at once, and pull missed evidence", func() {
 		d := quarantine.DigestOf("c", "POST", "h", "/", nil)
-		w, here := newWorld()
-		_, there := newWorld()
+		w, here := newTestDetector()
+		_, there := newTestDetector()
 		mux := http.NewServeMux()
 		calls := peerrpc.NewCrashesServer(RPCServer{Detector: there})
 		mux.Handle(calls.PathPrefix(), calls)
 		server := httptest.NewServer(mux)
 		DeferCleanup(server.Close)
-		there.ConnectionLost(d, quarantine.RequestInfo{Customer: "c", Path: "/"}, plainB)
-		there.MarkExited("b", "spec") // of which it tells nobody
+		there.ConnectionLost(d, quarantine.RequestInfo{Customer: "c", Path: "/"}, serverB)
+		there.MarkExited("b", "spec") // not published, since no gossip runs here
 		ctx, stop := context.WithCancel(context.Background())
 		done := make(chan struct{})
 		go func() {
 			defer close(done)
 			here.Gossip(ctx, []string{strings.TrimPrefix(server.URL, "http://")}, http.DefaultClient)
 		}()
-		here.ConnectionLost(d, quarantine.RequestInfo{Customer: "c", Path: "/"}, plainA)
+		here.ConnectionLost(d, quarantine.RequestInfo{Customer: "c", Path: "/"}, serverA)
 		here.MarkExited("a", "spec")
 		both := []string{"a", "b"}
-		for _, watch := range []*Detector{here, there} {
-			Eventually(func() []string { return watch.Table().Decision(d, w.now).Servers }, "10s").Should(Equal(both))
+		for _, detector := range []*Detector{here, there} {
+			Eventually(func() []string { return detector.Table().Decision(d, w.now).Servers }, "10s").Should(Equal(both))
 		}
 		stop()
 		<-done
 	})
 })
 
-// fakeLog is the product's log: what is appended reaches the replicas that follow it.
+// fakeLog applies each append to its replicas.
 type fakeLog struct {
 	replica.Log
 	mu       sync.Mutex
@@ -262,25 +262,25 @@
 var _ = Describe("a quarantine", func() {
 	d := quarantine.DigestOf("c", "POST", "h", "/", nil)
 
-	It("is in the configuration, for daemons that start later, until operators end it", func() {
-		w, watch := newWorld()
+	It("is persisted for daemons that start later, until an operator ends it", func() {
+		w, detector := newTestDetector()
 		rep, late := replica.New(func() time.Time { return w.now }), replica.New(func() time.Time { return w.now })
 		log := &fakeLog{replicas: []*replica.Replica{rep, late}, down: true}
-		keeper := NewStore(watch, rep, log, "entry", func() time.Time { return w.now })
-		look := func() {
-			for range 3 { // notices, adds, applies
-				keeper.look(context.Background())
-				w.now = w.now.Add(keepPause)
+		store := NewStore(detector, rep, log, "entry", func() time.Time { return w.now })
+		reconcile := func() {
+			for range 3 { // detect, append, apply
+				store.reconcile(context.Background())
+				w.now = w.now.Add(retryInterval)
 			}
 		}
 		for _, server := range []string{"a", "b"} {
-			watch.ConnectionLost(d, quarantine.RequestInfo{Customer: "c", Path: "/"}, registry().ByID(server))
-			watch.MarkExited(server, "spec")
+			detector.ConnectionLost(d, quarantine.RequestInfo{Customer: "c", Path: "/"}, registry().ByID(server))
+			detector.MarkExited(server, "spec")
 		}
-		look()
+		reconcile()
 		Expect(log.records).To(BeEmpty())
 		log.down = false
-		look()
+		reconcile()
 		Expect(log.records).To(HaveLen(1))
 		object := rep.View().Get(config.KindQuarantine, d.String())
 		Expect(object.Quarantine.Servers).To(Equal([]string{"a", "b"}))
@@ -288,8 +288,8 @@
 		Expect(object.Quarantine.Path).To(Equal("/"))
 		Expect(object.Quarantine.SinceMs).To(Equal(time.Unix(1000, 0).UnixMilli()))
 
-		_, started := newWorld()
-		NewStore(started, late, log, "late", func() time.Time { return w.now }).look(context.Background())
+		_, started := newTestDetector()
+		NewStore(started, late, log, "late", func() time.Time { return w.now }).reconcile(context.Background())
 		Expect(started.Admit(d).State).To(Equal(quarantine.Quarantined))
 
 		data, err := config.NewChange(&config.Bundle{CommandID: "release", Actor: "ops", Changes: []config.Change{
@@ -298,68 +298,68 @@
 		Expect(err).NotTo(HaveOccurred())
 		_, err = log.Append(context.Background(), data)
 		Expect(err).NotTo(HaveOccurred())
-		look()
-		Expect(watch.Admit(d).State).To(Equal(quarantine.Healthy))
-		Expect(log.records).To(HaveLen(2), "it isn't added again")
+		reconcile()
+		Expect(detector.Admit(d).State).To(Equal(quarantine.Healthy))
+		Expect(log.records).To(HaveLen(2), "no second append")
 	})
 
-	It("ends at all daemons when later evidence speaks for the request, and nothing is forgotten", func() {
-		w, watch := newWorld()
+	It("ends at all daemons when later evidence clears the request, and its evidence is kept", func() {
+		w, detector := newTestDetector()
 		rep := replica.New(func() time.Time { return w.now })
 		log := &fakeLog{replicas: []*replica.Replica{rep}}
 		wall := func() time.Time { return w.now }
-		keeper := NewStore(watch, rep, log, "entry", wall)
-		_, other := newWorld()
-		other.now = watch.now
-		others := NewStore(other, rep, log, "other", wall)
-		look := func() {
+		store := NewStore(detector, rep, log, "entry", wall)
+		_, other := newTestDetector()
+		other.now = detector.now
+		otherStore := NewStore(other, rep, log, "other", wall)
+		reconcile := func() {
 			for range 3 {
-				keeper.look(context.Background())
-				others.look(context.Background())
-				w.now = w.now.Add(keepPause)
+				store.reconcile(context.Background())
+				otherStore.reconcile(context.Background())
+				w.now = w.now.Add(retryInterval)
 			}
 		}
 		for _, server := range []string{"a", "b"} {
-			watch.ConnectionLost(d, quarantine.RequestInfo{}, registry().ByID(server))
-			watch.MarkExited(server, "spec")
+			detector.ConnectionLost(d, quarantine.RequestInfo{}, registry().ByID(server))
+			detector.MarkExited(server, "spec")
 		}
 		w.now = w.now.Add(quarantine.SettleTime)
-		look()
+		reconcile()
 		Expect(other.Admit(d).State).To(Equal(quarantine.Quarantined))
-		innocent := quarantine.DigestOf("c", "POST", "h", "/beside", nil)
+		unrelated := quarantine.DigestOf("c", "POST", "h", "/unrelated", nil)
 		var shared []quarantine.Evidence
 		for _, server := range []string{"a", "b"} {
-			shared = append(shared, quarantine.Evidence{Digest: innocent, Server: server, ExitedAt: w.now})
+			shared = append(shared, quarantine.Evidence{Digest: unrelated, Server: server, ExitedAt: w.now})
 		}
-		watch.MergeEvidence(shared, "a daemon that was cut off")
+		detector.MergeEvidence(shared, "partitioned daemon")
 		w.now = w.now.Add(quarantine.SettleTime)
-		look()
-		Expect(other.Admit(d).State).To(Equal(quarantine.Healthy), "it has heard of no ends")
-		Expect(watch.Admit(d).State).To(Equal(quarantine.Suspect))
-		w.now = w.now.Add(2 * untilSlack)
-		look()
+		reconcile()
+		Expect(other.Admit(d).State).To(Equal(quarantine.Healthy), "it has no evidence")
+		Expect(detector.Admit(d).State).To(Equal(quarantine.Suspect))
+		w.now = w.now.Add(2 * endTolerance)
+		reconcile()
 		Expect(rep.View().List(config.KindQuarantine)).To(BeEmpty())
-		Expect(watch.Table().Decision(d, w.now).Servers).To(HaveLen(2))
+		Expect(detector.Table().Decision(d, w.now).Servers).To(HaveLen(2))
 	})
 
-	It("leaves the configuration when it's over", func() {
-		w, watch := newWorld()
+	It("is removed from the configuration after its end", func() {
+		w, detector := newTestDetector()
 		rep := replica.New(func() time.Time { return w.now })
 		log := &fakeLog{replicas: []*replica.Replica{rep}}
-		keeper := NewStore(watch, rep, log, "entry", func() time.Time { return w.now })
+		store := NewStore(detector, rep, log, "entry", func() time.Time { return w.now })
 		for _, server := range []string{"a", "b"} {
-			watch.ConnectionLost(d, quarantine.RequestInfo{Customer: "c", Path: "/"}, registry().ByID(server))
-			watch.MarkExited(server, "spec")
+			detector.ConnectionLost(d, quarantine.RequestInfo{Customer: "c", Path: "/"}, registry().ByID(server))
+			detector.MarkExited(server, "spec")
 		}
 		for range 3 {
-			keeper.look(context.Background())
-			w.now = w.now.Add(keepPause)
+			store.reconcile(context.Background())
+			w.now = w.now.Add(retryInterval)
 		}
 		Expect(rep.View().List(config.KindQuarantine)).To(HaveLen(1))
 		w.now = w.now.Add(time.Hour)
 		for range 3 {
-			keeper.look(context.Background())
-			w.now = w.now.Add(keepPause)
+			store.reconcile(context.Background())
+			w.now = w.now.Add(retryInterval)
 		}
 		Expect(rep.View().List(config.KindQuarantine)).To(BeEmpty())
 	})
--- a/internal/crash/gossip.go
+++ b/internal/crash/gossip.go
@@ -11,13 +11,13 @@
 )
 
 const (
-	// gossipPace is the time between questions to one other entry for what was missed.
-	gossipPace = time.Second
-	// gossipTimeout bounds a call to another entry.
+	// gossipInterval is the time between pulls from a random peer.
+	gossipInterval = time.Second
+	// gossipTimeout bounds a call to a peer.
 	gossipTimeout = 500 * time.Millisecond
 )
 
-// Server answers other entries. It implements peerrpc.Crashes.
+// RPCServer serves evidence to other entries. It implements peerrpc.Crashes.
 type RPCServer struct{ Detector *Detector }
 
 // Tell implements peerrpc.Crashes.
@@ -26,20 +26,20 @@
 	return s.Detector.Delta(t.GetKnown()), nil
 }
 
-// Gossip tells the entries at some control addresses what this one finds out, at once, and
-// asks one of them from time to time what it has missed, until the context ends.
-func (w *Detector) Gossip(ctx context.Context, peers []string, client *http.Client) {
-	ticker := time.NewTicker(gossipPace)
+// Gossip sends new evidence to the entries at the control addresses at once, and periodically
+// pulls missed evidence from a random one, until ctx ends.
+func (det *Detector) Gossip(ctx context.Context, peers []string, client *http.Client) {
+	ticker := time.NewTicker(gossipInterval)
 	defer ticker.Stop()
 	for {
 		select {
-		case evidence := <-w.news:
+		case evidence := <-det.updates:
 			for _, peer := range peers {
-				go w.exchange(ctx, peer, evidence, client)
+				go det.exchange(ctx, peer, evidence, client)
 			}
 		case <-ticker.C:
 			if len(peers) > 0 {
-				w.exchange(ctx, peers[rand.IntN(len(peers))], nil, client)
+				det.exchange(ctx, peers[rand.IntN(len(peers))], nil, client)
 			}
 		case <-ctx.Done():
 			return
@@ -47,15 +47,15 @@
 	}
 }
 
-func (w *Detector) exchange(ctx context.Context, peer string, evidence []quarantine.Evidence, client *http.Client) {
+func (det *Detector) exchange(ctx context.Context, peer string, evidence []quarantine.Evidence, client *http.Client) {
 	ctx, cancel := context.WithTimeout(ctx, gossipTimeout)
 	defer cancel()
-	news, err := peerrpc.NewCrashesProtobufClient("http://"+peer, client).Tell(ctx, &peerrpc.CrashTelling{
-		Known: w.Digest(peer), Evidence: Encode(evidence, w.now()),
+	delta, err := peerrpc.NewCrashesProtobufClient("http://"+peer, client).Tell(ctx, &peerrpc.CrashTelling{
+		Known: det.Digest(peer), Evidence: Encode(evidence, det.now()),
 	})
 	if err != nil {
-		w.log.WithError(err).WithField("peer", peer).Debug("peer not reached")
+		det.log.WithError(err).WithField("peer", peer).Debug("peer unreachable")
 		return
 	}
-	w.ApplyDelta(peer, news)
+	det.ApplyDelta(peer, delta)
 }
--- a/internal/crash/store.go
+++ b/internal/crash/store.go
@@ -14,52 +14,51 @@
 )
 
 const (
-	// keepPace is the time between looks for quarantines that the configuration lacks.
-	keepPace = 500 * time.Millisecond
-	// keepSpread is how long a daemon waits at most, at random, before it adds one of
-	// which it only heard: the daemon that found it adds it at once. Between daemons that are
-	// cut off from each other the store is the only way, and each moment may end a server.
-	keepSpread = time.Second
-	// keepTimeout bounds an append, keepPause is the pause after one that failed.
-	keepTimeout = 2 * time.Second
-	keepPause   = 2 * time.Second
-	// untilSlack is by how much the configuration's end of a quarantine may fall short of
-	// what daemons' clocks make of it, and how long one that is over is left in it.
-	untilSlack = time.Minute
+	// checkInterval is the time between checks for quarantines missing from the configuration.
+	checkInterval = 500 * time.Millisecond
+	// maxWriteJitter is the longest random delay before a daemon writes a quarantine found by
+	// peers; a daemon with own evidence writes at once. Between partitioned daemons the
+	// configuration is the only way to share evidence.
+	maxWriteJitter = time.Second
+	// appendTimeout bounds an append, retryInterval is the pause after a failed one.
+	appendTimeout = 2 * time.Second
+	retryInterval = 2 * time.Second
+	// endTolerance is the tolerated difference between the configured and the computed end of
+	// a quarantine, and how long an expired quarantine remains in the configuration.
+	endTolerance = time.Minute
 )
 
-// Keeper keeps quarantines in the product's configuration, where they outlast all daemons
-// and operators see them and end them.
+// Store persists quarantines in the product's configuration, where they survive restarts of
+// all daemons and operators can inspect and end them.
 type Store struct {
-	watch   *Detector
-	replica *replica.Replica
-	store   replica.Log
-	daemon  string
-	log     *logrus.Entry
-	// wall is the time of day, which the configuration has: the watch's times are for
-	// comparing with each other only.
-	wall func() time.Time
-	// inForce are the quarantines of the configuration as last seen.
-	inForce map[quarantine.Digest]*config.Quarantine
-	// dueAt is when this daemon adds what is missing; zero while nothing is.
-	dueAt time.Time
+	detector  *Detector
+	replica   *replica.Replica
+	configLog replica.Log
+	daemon    string
+	log       *logrus.Entry
+	// wallClock returns the time of day. The detector's clock is valid for comparisons only.
+	wallClock func() time.Time
+	// active are the quarantines in the last applied configuration.
+	active map[quarantine.Digest]*config.Quarantine
+	// writeAt is when this daemon writes the pending changes; zero if there are none.
+	writeAt time.Time
 }
 
-// NewKeeper returns the keeper of a daemon.
-func NewStore(w *Detector, rep *replica.Replica, store replica.Log, daemon string, wall func() time.Time) *Store {
-	return &Store{watch: w, replica: rep, store: store, daemon: daemon, log: w.log, wall: wall, inForce: map[quarantine.Digest]*config.Quarantine{}}
+// NewStore returns a daemon's store.
+func NewStore(det *Detector, rep *replica.Replica, configLog replica.Log, daemon string, wallClock func() time.Time) *Store {
+	return &Store{detector: det, replica: rep, configLog: configLog, daemon: daemon, log: det.log, wallClock: wallClock, active: map[quarantine.Digest]*config.Quarantine{}}
 }
 
-// Run keeps them until the context ends.
-func (k *Store) Run(ctx context.Context) {
-	tick := time.NewTicker(keepPace)
+// Run reconciles evidence and configuration until ctx ends.
+func (s *Store) Run(ctx context.Context) {
+	tick := time.NewTicker(checkInterval)
 	defer tick.Stop()
 	for {
-		changed := k.replica.Changed()
-		k.look(ctx)
+		changed := s.replica.Changed()
+		s.reconcile(ctx)
 		select {
 		case <-changed:
-		case <-k.watch.changed:
+		case <-s.detector.changed:
 		case <-tick.C:
 		case <-ctx.Done():
 			return
@@ -67,134 +66,135 @@
 	}
 }
 
-// look applies what the configuration says, and adds to it what it lacks.
-func (k *Store) look(ctx context.Context) {
-	view := k.replica.View()
-	k.apply(view)
-	now := k.watch.now()
-	quarantined := k.watch.table.Quarantined(now)
-	k.announce(quarantined, now)
-	changes, foundHere := k.missing(view, quarantined, now)
+// reconcile applies the configuration, and writes changes that it lacks.
+func (s *Store) reconcile(ctx context.Context) {
+	view := s.replica.View()
+	s.applyConfig(view)
+	now := s.detector.now()
+	quarantined := s.detector.table.Quarantined(now)
+	s.logNew(quarantined, now)
+	changes, local := s.pendingChanges(view, quarantined, now)
 	switch {
 	case len(changes) == 0:
-		k.dueAt = time.Time{}
+		s.writeAt = time.Time{}
 		return
-	case k.dueAt.IsZero() && foundHere:
-		k.dueAt = now
-	case k.dueAt.IsZero():
-		k.dueAt = now.Add(rand.N(keepSpread))
+	case s.writeAt.IsZero() && local:
+		s.writeAt = now
+	case s.writeAt.IsZero():
+		s.writeAt = now.Add(rand.N(maxWriteJitter))
 	}
-	if !now.Before(k.dueAt) {
-		k.dueAt = now.Add(keepPause)
-		k.add(ctx, changes)
+	if !now.Before(s.writeAt) {
+		s.writeAt = now.Add(retryInterval)
+		s.appendChanges(ctx, changes)
 	}
 }
 
-// apply quarantines what the configuration says, and releases what it no longer does: one
-// that is gone before its time was taken away by an operator. Daemons end one first.
-func (k *Store) apply(view *config.View) {
+// applyConfig applies added and removed quarantines. Daemons expire a quarantine before they
+// remove it, so one removed early was released by an operator.
+func (s *Store) applyConfig(view *config.View) {
 	listed := map[quarantine.Digest]*config.Quarantine{}
 	for _, object := range view.List(config.KindQuarantine) {
 		d, err := quarantine.ParseDigest(object.Name)
 		if err != nil {
-			k.log.WithError(err).Error("quarantine passed over") // the fold validates names, so this is a fault of ours
+			s.log.WithError(err).Error("skipped quarantine with invalid name") // unreachable: names are validated when applied
 			continue
 		}
 		listed[d] = object.Quarantine
-		if k.inForce[d] == nil {
-			k.log.WithFields(logrus.Fields{"digest": d, "servers": object.Quarantine.Servers, "offset": object.Revision - 1}).
-				Info("quarantine in force")
+		if s.active[d] == nil {
+			s.log.WithFields(logrus.Fields{"digest": d, "servers": object.Quarantine.Servers, "offset": object.Revision - 1}).
+				Info("quarantine active")
 		}
-		k.watch.table.QuarantineUntil(d, k.watch.now().Add(object.Quarantine.Until().Sub(k.wall())))
+		s.detector.table.QuarantineUntil(d, s.detector.now().Add(object.Quarantine.Until().Sub(s.wallClock())))
 	}
-	for d, former := range k.inForce {
+	for d, former := range s.active {
 		switch {
 		case listed[d] != nil:
-		case k.wall().Before(former.Until()):
-			k.log.WithFields(logrus.Fields{"digest": d, "offset": view.Configured}).Info("request released from quarantine")
-			k.watch.release(d)
+		case s.wallClock().Before(former.Until()):
+			s.log.WithFields(logrus.Fields{"digest": d, "offset": view.Configured}).Info("request released from quarantine")
+			s.detector.endQuarantine(d)
 		default:
-			k.watch.table.QuarantineUntil(d, time.Time{})
+			s.detector.table.QuarantineUntil(d, time.Time{})
 		}
 	}
-	k.inForce = listed
+	s.active = listed
 }
 
-// announce writes a line for each request that is quarantined now and wasn't.
-func (k *Store) announce(quarantined map[quarantine.Digest]quarantine.Decision, now time.Time) {
+// logNew logs requests that are newly quarantined.
+func (s *Store) logNew(quarantined map[quarantine.Digest]quarantine.Decision, now time.Time) {
 	for d, v := range quarantined {
-		if !k.watch.table.MarkAnnounced(d, v) {
+		if !s.detector.table.MarkAnnounced(d, v) {
 			continue
 		}
 		metrics.GetOrCreateCounter(`crowbridge_requests_quarantined_total`).Inc()
-		k.log.WithFields(logrus.Fields{
+		s.log.WithFields(logrus.Fields{
 			"digest": d, "customer": v.Info.Customer, "path": v.Info.Path, "servers": v.Servers, "found_here": v.LocalExits, "for_s": int(v.Until.Sub(now).Seconds()),
-		}).Warn("request quarantined: servers end while they run it")
+		}).Warn("request quarantined: servers crash while running it")
 	}
 }
 
-// missing are the changes after which the configuration has the quarantines that it
-// should. foundHere tells whether this daemon saw any of the ends that it lacks.
-func (k *Store) missing(view *config.View, quarantined map[quarantine.Digest]quarantine.Decision, now time.Time) (changes []config.Change, foundHere bool) {
+// pendingChanges returns the changes that bring the configuration in line with the evidence.
+// local reports whether this daemon observed any of the exits.
+func (s *Store) pendingChanges(view *config.View, quarantined map[quarantine.Digest]quarantine.Decision, now time.Time) (changes []config.Change, local bool) {
 	for d, v := range quarantined {
 		object := view.Get(config.KindQuarantine, d.String())
-		until := k.wall().Add(v.Until.Sub(now))
-		if object != nil && object.Quarantine.Until().Add(untilSlack).After(until) {
+		until := s.wallClock().Add(v.Until.Sub(now))
+		if object != nil && object.Quarantine.Until().Add(endTolerance).After(until) {
 			continue
 		}
 		change := config.Change{Kind: config.KindQuarantine, Name: d.String(), Object: &config.Object{
 			Kind: config.KindQuarantine, Name: d.String(),
 			Quarantine: &config.Quarantine{
 				Customer: v.Info.Customer, Path: v.Info.Path, Servers: v.Servers,
-				SinceMs: k.wall().Add(v.Since.Sub(now)).UnixMilli(), UntilMs: until.UnixMilli(),
+				SinceMs: s.wallClock().Add(v.Since.Sub(now)).UnixMilli(), UntilMs: until.UnixMilli(),
 			},
 		}}
 		if object != nil {
 			change.ExpectedRevision = object.Revision
 		}
 		changes = append(changes, change)
-		foundHere = foundHere || v.LocalExits > 0
+		local = local || v.LocalExits > 0
 	}
-	for d := range k.inForce {
+	for d := range s.active {
 		object := view.Get(config.KindQuarantine, d.String())
 		change := config.Change{Kind: config.KindQuarantine, Name: d.String(), ExpectedRevision: object.Revision}
 		switch until := object.Quarantine.Until(); {
-		case k.wall().After(until.Add(untilSlack)):
-		case k.wall().Before(until) && k.watch.table.Cleared(d, object.Quarantine.Servers, now):
-			change.Object = ended(object, k.wall())
+		case s.wallClock().After(until.Add(endTolerance)):
+		case s.wallClock().Before(until) && s.detector.table.Cleared(d, object.Quarantine.Servers, now):
+			change.Object = endedNow(object, s.wallClock())
 		default:
 			continue
 		}
 		changes = append(changes, change)
 	}
-	return changes, foundHere
+	return changes, local
 }
 
-// ended is a quarantine's object once it's over.
-func ended(object *config.Object, now time.Time) *config.Object {
-	over := *object.Quarantine
-	over.UntilMs = now.UnixMilli()
-	return &config.Object{Kind: object.Kind, Name: object.Name, Quarantine: &over}
+// endedNow returns a copy of a quarantine's object that ends now.
+func endedNow(object *config.Object, now time.Time) *config.Object {
+	ended := *object.Quarantine
+	ended.UntilMs = now.UnixMilli()
+	return &config.Object{Kind: object.Kind, Name: object.Name, Quarantine: &ended}
 }
 
-// add puts changes onto the log, each by itself: another daemon may have made some of them.
-func (k *Store) add(ctx context.Context, changes []config.Change) {
-	ctx, cancel := context.WithTimeout(ctx, keepTimeout)
+// appendChanges appends each change separately, because another daemon may have made some of
+// them.
+func (s *Store) appendChanges(ctx context.Context, changes []config.Change) {
+	ctx, cancel := context.WithTimeout(ctx, appendTimeout)
 	defer cancel()
 	for _, change := range changes {
 		bundle := &config.Bundle{
-			CommandID: uuid.NewString(), Actor: k.daemon, Reason: "servers end while they run this request",
+			CommandID: uuid.NewString(), Actor: s.daemon, Reason: "servers end while they run this request",
 			Changes: []config.Change{change},
 		}
-		if change.Object == nil || !change.Object.Quarantine.Until().After(k.wall()) {
+		if change.Object == nil || !change.Object.Quarantine.Until().After(s.wallClock()) {
 			bundle.Reason = "the quarantine is over, or later evidence speaks for the request"
 		}
 		data, err := config.NewChange(bundle).Encode()
 		if err == nil {
-			_, err = k.store.Append(ctx, data)
+			_, err = s.configLog.Append(ctx, data)
 		}
 		if err != nil {
-			k.log.WithError(err).WithField("digest", change.Name).Warn("quarantine not confirmed on the store: trying again")
+			s.log.WithError(err).WithField("digest", change.Name).Warn("failed to append quarantine, retrying")
 			return
 		}
 	}
