--- a/internal/config/state_property_test.go
+++ b/internal/config/state_property_test.go
@@ -191,7 +191,7 @@
 
 // TestFoldAgreesEverywhere: the same offset means the same state at every
 // process, however it got there; no verdict changes; each command has one effect.
-func TestFoldAgreesEverywhere(t *testing.T) {
+func TestReplicasAgreeOnStateAtSamePosition(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := &stateMachine{log: &fakeLog{}, hashes: map[storelog.Position]string{}, accepted: map[string]bool{}, savedPosition: storelog.Unknown}
 		for range 4 {
--- a/internal/membership/exchange.go
+++ b/internal/membership/exchange.go
@@ -26,7 +26,7 @@
 	eras          *storelog.EraTracker
 
 	mu    sync.Mutex
-	peers map[string]heardPeer
+	peers map[string]peerState
 }
 
 // CrashExchange is what daemons know of servers that ended under requests.
@@ -51,11 +51,11 @@
 type Peer struct{ Control, Zone string }
 
 // heardPeer is what is known of a daemon besides its address.
-type heardPeer struct {
+type peerState struct {
 	// zone is empty until the daemon itself has been heard.
 	zone string
 	// heard is when it was heard of last.
-	heard time.Time
+	lastSeen time.Time
 	// avoidUntil is until when it isn't asked as the zone's reader, because it failed.
 	avoidUntil time.Time
 }
@@ -66,7 +66,7 @@
 func NewExchange(members *Membership, self Peer, seeds []string, client *http.Client, log *logrus.Entry) *Exchange {
 	return &Exchange{
 		members: members, self: self, seeds: seeds, client: client, log: log,
-		peers: map[string]heardPeer{},
+		peers: map[string]peerState{},
 	}
 }
 
@@ -84,7 +84,7 @@
 
 // noteEra takes in the era, if it's told, of a position up to which another daemon knows a
 // topic.
-func (e *Exchange) noteEra(era *int64, next int64) {
+func (e *Exchange) observeEra(era *int64, next int64) {
 	if e.eras != nil && era != nil && next > storelog.Unknown.Offset() {
 		e.eras.Observe(*era)
 	}
@@ -101,19 +101,19 @@
 // far it knows the topics: replies go to who asks, nothing is pushed.
 func (e *Exchange) Exchange(_ context.Context, r *peerrpc.ExchangeRequest) (*peerrpc.ExchangeReply, error) {
 	if r.GetControl() != "" {
-		e.heardOf(Peer{Control: r.GetControl(), Zone: r.GetZone()})
+		e.recordContact(Peer{Control: r.GetControl(), Zone: r.GetZone()})
 	}
 	now := e.members.now()
 	reply := &peerrpc.ExchangeReply{
-		Peers: e.Peers(), Zone: e.self.Zone, ServersAgeMs: ageMs(now, e.members.asOf()), OperatorsAgeMs: ageMs(now, e.members.confirmed()),
+		Peers: e.Peers(), Zone: e.self.Zone, ServersAgeMs: ageMs(now, e.members.registrationsAsOf()), OperatorsAgeMs: ageMs(now, e.members.configAsOf()),
 	}
 	if e.configuration != nil {
 		next := e.configuration.Next()
 		reply.ConfigurationNext, reply.ConfigurationEra = next.Offset(), proto.Int64(next.Era())
 	}
-	e.noteEra(r.OperatorsEra, r.GetOperatorsNext())
-	e.noteEra(r.ServersEra, r.GetServersNext())
-	operators, servers := e.changes(r)
+	e.observeEra(r.OperatorsEra, r.GetOperatorsNext())
+	e.observeEra(r.ServersEra, r.GetServersNext())
+	operators, servers := e.changesSince(r)
 	reply.Servers = servers
 	if !r.GetServersOnly() {
 		reply.Operators = operators
@@ -121,8 +121,8 @@
 	if e.crashes != nil && r.GetCrashes() != nil {
 		reply.Crashes = e.crashes.Delta(r.GetCrashes())
 	}
-	for id, left := range e.members.keptLapses() {
-		reply.Lapses = append(reply.Lapses, &peerrpc.Lapse{Key: id, RemainingMs: left.Milliseconds()})
+	for id, remaining := range e.members.pendingLapses() {
+		reply.Lapses = append(reply.Lapses, &peerrpc.Lapse{Key: id, RemainingMs: remaining.Milliseconds()})
 	}
 	return reply, nil
 }
@@ -136,15 +136,17 @@
 }
 
 // Pull takes in what a peer knows and this daemon lacks.
-func (e *Exchange) Pull(ctx context.Context, peer string) error { return e.ask(ctx, peer, false) }
+func (e *Exchange) Pull(ctx context.Context, peer string) error { return e.pull(ctx, peer, false) }
 
 // PullServers takes in the registrations only: a large configuration would fill
 // the link of a small VM.
-func (e *Exchange) PullServers(ctx context.Context, peer string) error { return e.ask(ctx, peer, true) }
+func (e *Exchange) PullServers(ctx context.Context, peer string) error {
+	return e.pull(ctx, peer, true)
+}
 
-func (e *Exchange) ask(ctx context.Context, peer string, serversOnly bool) error {
+func (e *Exchange) pull(ctx context.Context, peer string, serversOnly bool) error {
 	known := e.members.positions()
-	asked := e.members.now()
+	requestedAt := e.members.now()
 	request := &peerrpc.ExchangeRequest{
 		Control: e.self.Control, Zone: e.self.Zone, ServersOnly: serversOnly,
 		OperatorsNext: known.operators.Offset(), OperatorsEra: proto.Int64(known.operators.Era()),
@@ -164,28 +166,28 @@
 	if e.configuration != nil {
 		e.configuration.ObservePeerPosition(storelog.NewPosition(reply.GetConfigurationEra(), reply.GetConfigurationNext()))
 	}
-	e.takeIn(reply, asked, "peer "+peer)
-	e.heardOf(Peer{Control: peer, Zone: reply.GetZone()})
+	e.mergeReply(reply, requestedAt, "peer "+peer)
+	e.recordContact(Peer{Control: peer, Zone: reply.GetZone()})
 	for _, other := range reply.GetPeers() {
-		e.toldOf(other)
+		e.addPeer(other)
 	}
 	return nil
 }
 
 // changes returns what a daemon lacks that asks.
-func (e *Exchange) changes(r *peerrpc.ExchangeRequest) (operators, servers *peerrpc.Topic) {
+func (e *Exchange) changesSince(r *peerrpc.ExchangeRequest) (operators, servers *peerrpc.Topic) {
 	e.members.mu.Lock()
 	defer e.members.mu.Unlock()
-	operators = encode(e.members.operators, positionOf(r.GetOperatorsNext(), r.OperatorsEra, e.members.operators))
+	operators = encode(e.members.operators, peerPosition(r.GetOperatorsNext(), r.OperatorsEra, e.members.operators))
 	if r.ConfigurationVersion != nil {
-		e.addNewer(operators, r.GetConfigurationVersion())
+		e.addNewerConfig(operators, r.GetConfigurationVersion())
 	}
-	return operators, encode(e.members.servers, positionOf(r.GetServersNext(), r.ServersEra, e.members.servers))
+	return operators, encode(e.members.servers, peerPosition(r.GetServersNext(), r.ServersEra, e.members.servers))
 }
 
 // positionOf returns up to where a daemon knows a topic. One that tells no era is taken to
 // know that of the topic here.
-func positionOf(next int64, era *int64, t *topic) storelog.Position {
+func peerPosition(next int64, era *int64, t *topic) storelog.Position {
 	if era == nil && next > storelog.Unknown.Offset() {
 		return storelog.NewPosition(t.next.Era(), next)
 	}
@@ -197,14 +199,14 @@
 
 // addNewer adds the configuration in force to what is told of the operators' topic, if it
 // is newer than the asking daemon's: that may have been read from an older copy of the store.
-func (e *Exchange) addNewer(told *peerrpc.Topic, version int64) {
+func (e *Exchange) addNewerConfig(topic *peerrpc.Topic, version int64) {
 	config := e.members.config.Load()
 	key := e.members.decoder.ConfigKey()
-	if config == nil || config.Version <= version || slices.ContainsFunc(told.GetRecords(), func(r *peerrpc.Record) bool { return r.GetKey() == key }) {
+	if config == nil || config.Version <= version || slices.ContainsFunc(topic.GetRecords(), func(r *peerrpc.Record) bool { return r.GetKey() == key }) {
 		return
 	}
 	at := e.members.operators.records[key].Position
-	told.Records = append(told.Records, &peerrpc.Record{Key: key, Value: e.members.inForce, Offset: at.Offset()})
+	topic.Records = append(topic.Records, &peerrpc.Record{Key: key, Value: e.members.currentConfigRecord, Offset: at.Offset()})
 }
 
 func encode(t *topic, from storelog.Position) *peerrpc.Topic {
@@ -212,55 +214,57 @@
 	if t.next <= from {
 		return encoded
 	}
-	if encoded.Whole = from < t.base; encoded.Whole {
+	if encoded.Whole = from < t.snapshotNext; encoded.Whole {
 		from = storelog.Unknown
 	}
-	for _, r := range t.since(from) {
+	for _, r := range t.changedSince(from) {
 		encoded.Records = append(encoded.Records, &peerrpc.Record{Key: r.Key, Value: r.Value, Offset: r.Position.Offset()})
 	}
 	return encoded
 }
 
 // takeIn takes in a reply to a question that was asked at a time.
-func (e *Exchange) takeIn(reply *peerrpc.ExchangeReply, asked time.Time, source string) {
+func (e *Exchange) mergeReply(reply *peerrpc.ExchangeReply, requestedAt time.Time, source string) {
 	operators, servers := reply.GetOperators(), reply.GetServers()
-	for _, told := range []*peerrpc.Topic{operators, servers} {
-		if told != nil {
-			e.noteEra(told.Era, told.GetNext())
+	for _, topic := range []*peerrpc.Topic{operators, servers} {
+		if topic != nil {
+			e.observeEra(topic.Era, topic.GetNext())
 		}
 	}
 	known := e.members.positions()
-	operatorsNext, serversNext := nextOf(operators), nextOf(servers)
+	operatorsNext, serversNext := topicNext(operators), topicNext(servers)
 	if len(operators.GetRecords()) > 0 || operatorsNext > known.operators {
-		e.members.takeOperators(decode(operators), operatorsNext, operators.GetWhole(), source)
+		e.members.mergeOperators(decode(operators), operatorsNext, operators.GetWhole(), source)
 	}
 	if operatorsNext > known.operators {
-		e.members.onPeerConfig(operatorsNext)
+		e.members.onPeerAhead(operatorsNext)
 	}
 	if age := reply.GetOperatorsAgeMs(); age > 0 && operatorsNext >= known.operators {
-		e.members.confirmOperators(asked.Add(-time.Duration(age) * time.Millisecond))
+		e.members.confirmOperators(requestedAt.Add(-time.Duration(age) * time.Millisecond))
 	}
 	if serversNext < known.servers || serversNext == storelog.Unknown {
 		return
 	}
-	news := registrations{
-		records: decode(servers), next: serversNext, whole: servers.GetWhole(), source: source,
+	update := serverUpdate{
+		records: decode(servers), next: serversNext, full: servers.GetWhole(), source: source,
 		lapses: make(map[string]time.Duration, len(reply.GetLapses())),
 	}
 	if age := reply.GetServersAgeMs(); age > 0 {
-		news.asOf = asked.Add(-time.Duration(age) * time.Millisecond)
+		update.asOf = requestedAt.Add(-time.Duration(age) * time.Millisecond)
 	}
 	for _, lapse := range reply.GetLapses() {
-		news.lapses[lapse.GetKey()] = time.Duration(lapse.GetRemainingMs()) * time.Millisecond
+		update.lapses[lapse.GetKey()] = time.Duration(lapse.GetRemainingMs()) * time.Millisecond
 	}
-	if serversNext > known.servers && len(news.lapses) == 0 {
-		e.members.heardFromPeer()
+	if serversNext > known.servers && len(update.lapses) == 0 {
+		e.members.markPeerAhead()
 	}
-	e.members.takeServers(news)
+	e.members.mergeServers(update)
 }
 
 // nextOf returns up to where a topic is told.
-func nextOf(t *peerrpc.Topic) storelog.Position { return storelog.NewPosition(t.GetEra(), t.GetNext()) }
+func topicNext(t *peerrpc.Topic) storelog.Position {
+	return storelog.NewPosition(t.GetEra(), t.GetNext())
+}
 
 func decode(t *peerrpc.Topic) []Record {
 	records := make([]Record, 0, len(t.GetRecords()))
@@ -271,23 +275,23 @@
 }
 
 // peerForget is how long a peer that isn't heard of is kept.
-const peerForget = 60 * time.Second
+const peerExpiry = 60 * time.Second
 
 // heardOf notes that a daemon itself was heard.
-func (e *Exchange) heardOf(peer Peer) {
+func (e *Exchange) recordContact(peer Peer) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	known := e.peers[peer.Control]
-	known.zone, known.heard = peer.Zone, e.members.now()
+	known.zone, known.lastSeen = peer.Zone, e.members.now()
 	e.peers[peer.Control] = known
 }
 
 // toldOf notes that another daemon knows of a daemon.
-func (e *Exchange) toldOf(peer string) {
+func (e *Exchange) addPeer(peer string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if _, listed := e.peers[peer]; !listed && peer != e.self.Control {
-		e.peers[peer] = heardPeer{heard: e.members.now()}
+		e.peers[peer] = peerState{lastSeen: e.members.now()}
 	}
 }
 
@@ -296,13 +300,13 @@
 func (e *Exchange) LastContacts() map[string]time.Time {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	met := make(map[string]time.Time, len(e.peers))
+	contacts := make(map[string]time.Time, len(e.peers))
 	for peer, known := range e.peers {
 		if known.zone != "" {
-			met[peer] = known.heard
+			contacts[peer] = known.lastSeen
 		}
 	}
-	return met
+	return contacts
 }
 
 // Peers returns the control addresses of known daemons, the seeds included.
@@ -312,7 +316,7 @@
 	var found []string
 	now := e.members.now()
 	for peer, known := range e.peers {
-		if now.Sub(known.heard) > peerForget {
+		if now.Sub(known.lastSeen) > peerExpiry {
 			delete(e.peers, peer)
 			continue
 		}
--- a/internal/membership/follower.go
+++ b/internal/membership/follower.go
@@ -65,77 +65,77 @@
 	// configWait is how long one read waits for a new configuration. Each read is
 	// paid for, so it is long (the store allows 30 s); a broken connection is noticed by
 	// keep-alive probes, and what such a read misses is told by the zone's reader.
-	configWait = 28 * time.Second
+	maxConfigPollTimeout = 28 * time.Second
 	// serversPart is the time between reads of registrations, as a part of the time
 	// within which requests must stop going to a leaving server; serversPace replaces
 	// it when that isn't set.
-	serversPart = 0.55
-	serversPace = 900 * time.Millisecond
+	intervalFraction = 0.55
+	defaultInterval  = 900 * time.Millisecond
 	// readerPart is the time between the zone reader's own reads, as a part of pace, and
 	// relayedPart the greatest age, as a part of pace, of registrations that others take
 	// from it. What the reader has is always younger than that while it's well; a daemon
 	// that got it shortly before the reader's next read asks again right after that.
-	readerPart  = 0.8
-	relayedPart = 0.9
+	readerIntervalFraction = 0.8
+	relayedAgeFraction     = 0.9
 	// callTimeout bounds one call beyond its wait. The store answers in some
 	// milliseconds; its slow spells are some fifty times that.
 	callTimeout = 900 * time.Millisecond
 	// retryFirst and retryMost bound the pause after a failed call.
-	retryFirst = 100 * time.Millisecond
-	retryMost  = 600 * time.Millisecond
+	minRetryDelay = 100 * time.Millisecond
+	maxRetryDelay = 600 * time.Millisecond
 )
 
 // errReread ends a long read that was woken.
-var errReread = errors.New("read anew")
+var errReadRestarted = errors.New("read anew")
 
 // errBehind says that the store ends before what is known, in the same era: it's asked
 // again after a pause.
-var errBehind = errors.New("the store ends before what is known, without another era")
+var errStoreBehind = errors.New("the store ends before what is known, without another era")
 
 // fromStore names the store as a source of records in logs.
-const fromStore = "store"
+const sourceStore = "store"
 
 // Follower keeps a Membership up to date from the store.
 type Follower struct {
-	members *Membership
-	store   Store
-	zone    ZoneReader
-	log     *logrus.Entry
-	pace    time.Duration
+	members  *Membership
+	store    Store
+	zone     ZoneReader
+	log      *logrus.Entry
+	interval time.Duration
 	// failures are the reads of registrations that have failed in a row.
 	failures int
 	// healthy is whether the last call to the store succeeded.
 	healthy atomic.Bool
 	// refreshes wakes who waits for the next read of the registrations.
-	refreshes chan struct{}
+	refresh chan struct{}
 	// rereads wakes a long read whose connection may be dead.
-	rereads chan struct{}
+	restartRead chan struct{}
 	// lost gets a value when the store can no longer be reached.
-	lost chan struct{}
+	unreachable chan struct{}
 	// onReached is called when the store is reached again.
-	onReached func()
+	onReachable func()
 	// silence judges the reads that wait for a configuration, reading is the position that
 	// the present one waits for.
-	silence longpoll.Trust
-	reading atomic.Int64
+	readTrust    longpoll.Trust
+	readPosition atomic.Int64
 	// gone is the position of each topic that the store didn't have last. Each topic is
 	// followed by one goroutine.
-	gone [topicCount]storelog.Position
+	lastGone [topicCount]storelog.Position
 }
 
 // NewFollower returns a follower. zone may be nil: then it reads everything itself.
 // stopRouting is how soon requests must stop going to a server that is known to
 // leave, or 0.
 func NewFollower(members *Membership, store Store, zone ZoneReader, stopRouting time.Duration, log *logrus.Entry) *Follower {
-	pace := time.Duration(serversPart * float64(stopRouting))
-	if pace <= 0 {
-		pace = serversPace
+	interval := time.Duration(intervalFraction * float64(stopRouting))
+	if interval <= 0 {
+		interval = defaultInterval
 	}
 	f := &Follower{
-		members: members, store: store, zone: zone, log: log, pace: pace, onReached: func() {},
-		refreshes: make(chan struct{}, 1), rereads: make(chan struct{}, 1), lost: make(chan struct{}, 1),
+		members: members, store: store, zone: zone, log: log, interval: interval, onReachable: func() {},
+		refresh: make(chan struct{}, 1), restartRead: make(chan struct{}, 1), unreachable: make(chan struct{}, 1),
 	}
-	members.onPeerConfig = f.peerKnewMore
+	members.onPeerAhead = f.handlePeerAhead
 	return f
 }
 
@@ -143,10 +143,10 @@
 func (f *Follower) Healthy() bool { return f.healthy.Load() }
 
 // OnReachable makes a call when the store is reached again. Call it before the follower runs.
-func (f *Follower) OnReachable(call func()) { f.onReached = call }
+func (f *Follower) OnReachable(call func()) { f.onReachable = call }
 
 // Unreachable gets a value when the store can no longer be reached.
-func (f *Follower) Unreachable() <-chan struct{} { return f.lost }
+func (f *Follower) Unreachable() <-chan struct{} { return f.unreachable }
 
 // FollowConfig follows the operators' topic until the context ends.
 func (f *Follower) FollowConfig(ctx context.Context) {
@@ -158,10 +158,10 @@
 			continue
 		}
 		failures++
-		if !errors.Is(err, errReread) {
-			f.doubt(err)
+		if !errors.Is(err, errReadRestarted) {
+			f.revokeReadTrust(err)
 		}
-		wait.For(ctx, pause(failures))
+		wait.For(ctx, retryDelay(failures))
 	}
 }
 
@@ -170,36 +170,36 @@
 	if from == storelog.Unknown {
 		return f.readNewest(ctx, TopicOperators)
 	}
-	patience := f.configPatience()
-	f.reading.Store(int64(from))
-	ctx, cancel := context.WithTimeout(ctx, patience+callTimeout)
+	pollTimeout := f.configPollTimeout()
+	f.readPosition.Store(int64(from))
+	ctx, cancel := context.WithTimeout(ctx, pollTimeout+callTimeout)
 	defer cancel()
-	ctx, end := context.WithCancelCause(ctx)
-	defer end(nil)
+	ctx, cancelRead := context.WithCancelCause(ctx)
+	defer cancelRead(nil)
 	go func() {
 		select {
-		case <-f.rereads:
-			end(errReread)
+		case <-f.restartRead:
+			cancelRead(errReadRestarted)
 		case <-ctx.Done():
 		}
 	}()
-	asked := f.members.now()
-	records, next, err := f.store.Read(ctx, TopicOperators, from, patience)
-	if err != nil && errors.Is(context.Cause(ctx), errReread) {
-		return errReread
+	requestedAt := f.members.now()
+	records, next, err := f.store.Read(ctx, TopicOperators, from, pollTimeout)
+	if err != nil && errors.Is(context.Cause(ctx), errReadRestarted) {
+		return errReadRestarted
 	}
 	if errors.Is(err, ErrGone) {
-		f.doubt(err)
-		f.noteGone(TopicOperators, from)
+		f.revokeReadTrust(err)
+		f.recordGone(TopicOperators, from)
 		err := f.readNewest(ctx, TopicOperators)
 		if err == nil && f.members.positions().operators == from {
-			err = errBehind
+			err = errStoreBehind
 		}
 		return err
 	}
 	if err == nil {
-		f.members.takeOperators(records, next, false, fromStore)
-		f.members.confirmOperators(asked)
+		f.members.mergeOperators(records, next, false, sourceStore)
+		f.members.confirmOperators(requestedAt)
 	}
 	return err
 }
@@ -211,7 +211,7 @@
 		timer := time.NewTimer(f.refreshServers(ctx))
 		select {
 		case <-timer.C:
-		case <-f.refreshes:
+		case <-f.refresh:
 		case <-ctx.Done():
 		}
 		timer.Stop()
@@ -221,28 +221,28 @@
 // RestartReads makes it read everything anew at once: the connection of a long read may have died
 // while this VM was suspended.
 func (f *Follower) RestartReads() {
-	wake(f.refreshes)
-	wake(f.rereads)
+	signal(f.refresh)
+	signal(f.restartRead)
 }
 
 // refreshServers gets the registrations from the zone's reader or from the store. It
 // returns how long to wait before the next time: whichever way they came, they are
 // refreshed when they are pace old.
 func (f *Follower) refreshServers(ctx context.Context) time.Duration {
-	if f.zone != nil && f.failures == 0 && f.zone.Refresh(ctx, time.Duration(relayedPart*float64(f.pace))) {
-		return f.members.asOf().Add(f.pace).Sub(f.members.now())
+	if f.zone != nil && f.failures == 0 && f.zone.Refresh(ctx, time.Duration(relayedAgeFraction*float64(f.interval))) {
+		return f.members.registrationsAsOf().Add(f.interval).Sub(f.members.now())
 	}
 	err := f.readServers(ctx)
-	f.note(err)
+	f.recordStoreResult(err)
 	if err != nil {
 		f.failures++
-		return pause(f.failures)
+		return retryDelay(f.failures)
 	}
 	f.failures = 0
 	if f.zone != nil && f.zone.ReadsForZone() {
-		return time.Duration(readerPart * float64(f.pace))
+		return time.Duration(readerIntervalFraction * float64(f.interval))
 	}
-	return f.pace
+	return f.interval
 }
 
 func (f *Follower) readServers(ctx context.Context) error {
@@ -252,24 +252,24 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	asked := f.members.now()
+	requestedAt := f.members.now()
 	records, next, err := f.store.Read(ctx, TopicServers, from, 0)
 	if errors.Is(err, ErrGone) {
-		f.noteGone(TopicServers, from)
+		f.recordGone(TopicServers, from)
 		return f.readNewest(ctx, TopicServers)
 	}
 	if err == nil {
-		f.members.takeServers(registrations{records: records, next: next, asOf: asked, source: fromStore})
+		f.members.mergeServers(serverUpdate{records: records, next: next, asOf: requestedAt, source: sourceStore})
 	}
 	return err
 }
 
 // noteGone counts reads from a position that the store doesn't have, with a line for the
 // first from there.
-func (f *Follower) noteGone(topic Topic, from storelog.Position) {
+func (f *Follower) recordGone(topic Topic, from storelog.Position) {
 	readsGone.Inc()
-	if f.gone[topic] != from {
-		f.gone[topic] = from
+	if f.lastGone[topic] != from {
+		f.lastGone[topic] = from
 		f.log.WithFields(logrus.Fields{"topic": topic.String(), "position": from.String()}).Info("the store doesn't have this position: the newest record of each key is read")
 	}
 }
@@ -277,43 +277,43 @@
 func (f *Follower) readNewest(ctx context.Context, topic Topic) error {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	asked := f.members.now()
+	requestedAt := f.members.now()
 	records, next, err := f.store.Newest(ctx, topic)
 	if err != nil {
 		return err
 	}
 	switch topic {
 	case TopicOperators:
-		f.members.takeOperators(records, next, true, fromStore)
-		f.members.confirmOperators(asked)
+		f.members.mergeOperators(records, next, true, sourceStore)
+		f.members.confirmOperators(requestedAt)
 	case TopicServers:
-		f.members.takeServers(registrations{records: records, next: next, whole: true, asOf: asked, source: fromStore})
+		f.members.mergeServers(serverUpdate{records: records, next: next, full: true, asOf: requestedAt, source: sourceStore})
 	}
 	return nil
 }
 
 // note logs when the store is lost or regained.
-func (f *Follower) note(err error) {
-	was := f.healthy.Swap(err == nil)
+func (f *Follower) recordStoreResult(err error) {
+	wasHealthy := f.healthy.Swap(err == nil)
 	if err == nil {
-		f.members.storeReached()
+		f.members.markStoreReachable()
 	}
 	switch {
 	case err != nil:
-		f.members.storeFailed()
-		if was {
+		f.members.markStoreUnreachable()
+		if wasHealthy {
 			f.log.WithError(err).Warn("store lost")
-			wake(f.lost)
+			signal(f.unreachable)
 		}
-	case !was:
+	case !wasHealthy:
 		f.log.Info("store reached")
-		wake(f.rereads)
-		f.onReached()
+		signal(f.restartRead)
+		f.onReachable()
 	}
 }
 
 // wake puts a value into a channel that has room for one.
-func wake(c chan struct{}) {
+func signal(c chan struct{}) {
 	select {
 	case c <- struct{}{}:
 	default:
@@ -322,7 +322,7 @@
 
 // pause grows with the failures in a row; the random part keeps daemons that
 // failed together apart.
-func pause(failures int) time.Duration {
-	d := min(retryFirst<<min(failures-1, 4), retryMost)
+func retryDelay(failures int) time.Duration {
+	d := min(minRetryDelay<<min(failures-1, 4), maxRetryDelay)
 	return d/2 + rand.N(d/2+1)
 }
--- a/internal/membership/malformed_test.go
+++ b/internal/membership/malformed_test.go
@@ -14,7 +14,7 @@
 
 var _ = Describe("entries of other writers", func() {
 	It("uses no server that an entry of another writer stands for, and says so once", func() {
-		b := newBench()
+		b := newFixture()
 		b.store.append(TopicServers, "a", "1.1.1.1:1")
 		b.store.append(TopicServers, "b", "1.1.1.2:1")
 		Expect(b.read()).To(Succeed())
@@ -39,7 +39,7 @@
 	// from the store in any portions or told by a neighbour.
 	It("uses exactly the servers that good entries name", func() {
 		rapid.Check(GinkgoT(), func(t *rapid.T) {
-			here, there := newBench(), newBench()
+			here, there := newFixture(), newFixture()
 			want := map[string]bool{}
 			for range rapid.IntRange(1, 25).Draw(t, "entries") {
 				id := fmt.Sprint("s", rapid.IntRange(0, 5).Draw(t, "server"))
@@ -69,9 +69,9 @@
 			}
 			log := logrus.NewEntry(logrus.New())
 			told := NewExchange(here.members, Peer{}, nil, nil, log)
-			_, servers := told.changes(&peerrpc.ExchangeRequest{OperatorsNext: -1, ServersNext: -1})
-			NewExchange(there.members, Peer{}, nil, nil, log).takeIn(&peerrpc.ExchangeReply{Servers: servers}, there.now, "a neighbour")
-			for _, b := range []*bench{here, there} {
+			_, servers := told.changesSince(&peerrpc.ExchangeRequest{OperatorsNext: -1, ServersNext: -1})
+			NewExchange(there.members, Peer{}, nil, nil, log).mergeReply(&peerrpc.ExchangeReply{Servers: servers}, there.now, "a neighbour")
+			for _, b := range []*fixture{here, there} {
 				got := map[string]bool{}
 				for _, id := range b.ids() {
 					got[id] = true
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -38,28 +38,28 @@
 	// store, and when they are to be taken as gone.
 	lapsed map[string]time.Time
 	// refused are the entries that name no server to use.
-	refused map[string]bool
+	invalid map[string]bool
 	// away is set from a failed call to the store until the first read that succeeds
 	// has been taken in. peerNews is set when another daemon knew newer registrations
 	// meanwhile: then the store was away for this daemon only, and nothing lapsed.
-	away, peerNews bool
-	onServers      []func(*fleet.Servers)
+	storeUnreachable, peerAhead bool
+	onServers                   []func(*fleet.Servers)
 	// inForce is the record of the configuration in force.
-	inForce []byte
+	currentConfigRecord []byte
 	// departed are servers that went away lately, held those of them that are listed again
 	// by an older copy of the store.
-	departed map[string]departure
-	held     map[string]Record
+	departed   map[string]departure
+	suppressed map[string]Record
 	// onPeerConfig is called with the position up to which another daemon knew the
 	// operators' topic, when that is more than was known here.
-	onPeerConfig func(next storelog.Position)
+	onPeerAhead func(next storelog.Position)
 	// serversAsOf is a time at which nothing newer had been registered.
 	serversAsOf time.Time
 	// operatorsAsOf is the same for the operators' topic, as far as reads can be believed.
 	operatorsAsOf time.Time
 
-	config  atomic.Pointer[fleet.Config]
-	present atomic.Pointer[fleet.Servers]
+	config         atomic.Pointer[fleet.Config]
+	currentServers atomic.Pointer[fleet.Servers]
 }
 
 // New returns an empty copy.
@@ -67,9 +67,9 @@
 	return &Membership{
 		decoder: decoder, now: now, log: log,
 		operators: newTopic(), servers: newTopic(),
-		onPeerConfig: func(storelog.Position) {},
-		departed:     map[string]departure{}, held: map[string]Record{},
-		decoded: map[string]*fleet.Server{}, lapsed: map[string]time.Time{}, refused: map[string]bool{},
+		onPeerAhead: func(storelog.Position) {},
+		departed:    map[string]departure{}, suppressed: map[string]Record{},
+		decoded: map[string]*fleet.Server{}, lapsed: map[string]time.Time{}, invalid: map[string]bool{},
 	}
 }
 
@@ -77,7 +77,7 @@
 func (m *Membership) Config() *fleet.Config { return m.config.Load() }
 
 // Servers returns the registered servers, or nil while they aren't known.
-func (m *Membership) Servers() *fleet.Servers { return m.present.Load() }
+func (m *Membership) Servers() *fleet.Servers { return m.currentServers.Load() }
 
 // OnServers calls f at each change of the servers. Call it before the copy is
 // filled.
@@ -101,35 +101,35 @@
 // takeOperators takes in operators' records. whole says that they are the
 // newest of every key. A newer configuration counts wherever it lies in the topic: versions
 // order configurations also after the store has come back from an older copy.
-func (m *Membership) takeOperators(records []Record, next storelog.Position, whole bool, source string) {
+func (m *Membership) mergeOperators(records []Record, next storelog.Position, full bool, source string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	records = m.readable(records, source)
-	take := m.operators.take
-	if whole {
-		take = m.operators.replace
+	records = m.dropUnreadable(records, source)
+	merge := m.operators.merge
+	if full {
+		merge = m.operators.mergeSnapshot
 	}
 	for _, r := range records {
 		if r.Key == m.decoder.ConfigKey() {
-			m.adopt(r, source)
+			m.applyConfig(r, source)
 		}
 	}
 	if next.Era() < m.operators.next.Era() {
 		return
 	}
-	for _, key := range take(records, next) {
+	for _, key := range merge(records, next) {
 		m.operators.markChanged(key)
 	}
-	m.propagateInForce()
+	m.keepCurrentConfigRecord()
 }
 
 // propagateInForce puts the configuration in force in the place of an older one, for others to
 // be told.
-func (m *Membership) propagateInForce() {
+func (m *Membership) keepCurrentConfigRecord() {
 	key := m.decoder.ConfigKey()
 	r, listed := m.operators.records[key]
-	if listed && m.inForce != nil {
-		r.Value = m.inForce
+	if listed && m.currentConfigRecord != nil {
+		r.Value = m.currentConfigRecord
 		m.operators.records[key] = r
 	}
 }
@@ -158,7 +158,7 @@
 }
 
 // confirmed returns a time at which the operators' topic was as it is known; zero when none is.
-func (m *Membership) confirmed() time.Time {
+func (m *Membership) configAsOf() time.Time {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.operatorsAsOf
@@ -166,7 +166,7 @@
 
 // readable leaves out records that can't be read, with a line for each: records are read
 // once, but for the newest of each key.
-func (m *Membership) readable(records []Record, source string) []Record {
+func (m *Membership) dropUnreadable(records []Record, source string) []Record {
 	return slices.DeleteFunc(records, func(r Record) bool {
 		if r.Unreadable == "" {
 			return false
@@ -178,7 +178,7 @@
 }
 
 // adopt puts a configuration in force if it is newer and well-formed.
-func (m *Membership) adopt(r Record, source string) {
+func (m *Membership) applyConfig(r Record, source string) {
 	log := m.log.WithFields(logrus.Fields{"position": r.Position.String(), "source": source})
 	if len(r.Value) == 0 {
 		log.Warn("configuration deleted: the last one stays in force")
@@ -196,17 +196,17 @@
 		return
 	}
 	m.config.Store(config)
-	m.inForce = r.Value
+	m.currentConfigRecord = r.Value
 	log.WithField("version", config.Version).Info("configuration in force")
 }
 
 // registrations are records of servers to be taken in.
-type registrations struct {
+type serverUpdate struct {
 	records []Record
 	// next is the position up to which they are known; whole says that they are the
 	// newest of every key.
-	next  storelog.Position
-	whole bool
+	next storelog.Position
+	full bool
 	// asOf is a time at which nothing newer had been registered; zero when unknown.
 	asOf   time.Time
 	source string
@@ -215,37 +215,37 @@
 }
 
 // takeServers takes in registrations.
-func (m *Membership) takeServers(r registrations) {
+func (m *Membership) mergeServers(r serverUpdate) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	take := m.servers.take
-	if r.whole {
-		take = m.servers.replace
+	merge := m.servers.merge
+	if r.full {
+		merge = m.servers.mergeSnapshot
 	}
 	if r.next >= m.servers.next && r.asOf.After(m.serversAsOf) {
 		m.serversAsOf = r.asOf
 	}
-	first := m.present.Load() == nil
+	first := m.currentServers.Load() == nil
 	changed := false
-	r.records = m.readable(r.records, r.source)
-	returned := r.whole && r.next.Era() > m.servers.next.Era()
-	if returned {
-		m.reconcile(&r)
+	r.records = m.dropUnreadable(r.records, r.source)
+	newEra := r.full && r.next.Era() > m.servers.next.Era()
+	if newEra {
+		m.reconcileOlderCopy(&r)
 	}
-	for _, id := range take(r.records, r.next) {
+	for _, id := range merge(r.records, r.next) {
 		changed = m.applyServer(id, r) || changed
 	}
-	if returned {
-		m.servers.propagateOnly(r.records)
+	if newEra {
+		m.servers.limitPropagation(r.records)
 	}
-	if changed = m.expire() || changed; changed || first {
+	if changed = m.expireLapsed() || changed; changed || first {
 		m.publish()
 	}
 }
 
 // asOf returns a time at which nothing newer than the known registrations had been
 // registered; zero while none are known.
-func (m *Membership) asOf() time.Time {
+func (m *Membership) registrationsAsOf() time.Time {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.serversAsOf
@@ -253,40 +253,40 @@
 
 // applyServer takes one changed registration over. It returns whether anything
 // but a heartbeat happened.
-func (m *Membership) applyServer(id string, from registrations) bool {
+func (m *Membership) applyServer(id string, from serverUpdate) bool {
 	r := m.servers.records[id]
 	log := m.log.WithFields(logrus.Fields{"server": id, "position": r.Position.String(), "source": from.source})
 	old := m.decoded[id]
 	if len(r.Value) == 0 {
-		delete(m.refused, id)
+		delete(m.invalid, id)
 		m.servers.markChanged(id)
-		return m.remove(id, old, from.lapses[id], log)
+		return m.removeServer(id, old, from.lapses[id], log)
 	}
 	server, err := m.decoder.DecodeServer(id, r.Value)
 	if err != nil {
-		return m.refuse(id, old, err, log)
+		return m.rejectServer(id, old, err, log)
 	}
-	delete(m.refused, id)
-	delete(m.held, id)
+	delete(m.invalid, id)
+	delete(m.suppressed, id)
 	_, lapsed := m.lapsed[id]
 	delete(m.lapsed, id)
-	if same := old != nil && equal(old, server); same && !lapsed {
+	if same := old != nil && sameRegistration(old, server); same && !lapsed {
 		return false
 	}
 	m.servers.markChanged(id)
 	m.decoded[id] = server
 	log.WithFields(logrus.Fields{
-		"address": server.Address, "start": server.Key(), "leaving": server.Leaving, "rank": describe(server.Rank),
+		"address": server.Address, "start": server.Key(), "leaving": server.Leaving, "rank": rankField(server.Rank),
 	}).Info("server registered")
 	return true
 }
 
 // refuse takes an entry that names no server to use: it says so once, and what was
 // registered there before no longer counts.
-func (m *Membership) refuse(id string, old *fleet.Server, err error, log *logrus.Entry) bool {
+func (m *Membership) rejectServer(id string, old *fleet.Server, err error, log *logrus.Entry) bool {
 	m.servers.markChanged(id)
-	if !m.refused[id] {
-		m.refused[id] = true
+	if !m.invalid[id] {
+		m.invalid[id] = true
 		log.WithError(err).Error("registration refused: it names no server to use")
 	}
 	delete(m.decoded, id)
@@ -294,14 +294,14 @@
 	return old != nil
 }
 
-func describe(rank *fleet.GroupRank) any {
+func rankField(rank *fleet.GroupRank) any {
 	if rank == nil {
 		return nil
 	}
 	return *rank
 }
 
-func equal(a, b *fleet.Server) bool {
+func sameRegistration(a, b *fleet.Server) bool {
 	sameRank := (a.Rank == nil) == (b.Rank == nil) && (a.Rank == nil || *a.Rank == *b.Rank)
 	x, y := *a, *b
 	x.Rank, y.Rank = nil, nil
@@ -310,38 +310,38 @@
 
 // remove takes a server as gone, or keeps it for a while if it may only have lapsed:
 // for as long as the source of the news does, or because the store was away.
-func (m *Membership) remove(id string, old *fleet.Server, kept time.Duration, log *logrus.Entry) bool {
+func (m *Membership) removeServer(id string, old *fleet.Server, grace time.Duration, log *logrus.Entry) bool {
 	if old == nil {
 		return false
 	}
-	if kept == 0 && m.away && !m.peerNews {
-		kept = outageGrace
+	if grace == 0 && m.storeUnreachable && !m.peerAhead {
+		grace = outageGrace
 	}
 	if old.Leaving {
-		kept = 0
+		grace = 0
 	}
-	if kept > 0 {
-		m.lapsed[id] = m.now().Add(kept)
+	if grace > 0 {
+		m.lapsed[id] = m.now().Add(grace)
 		log.Info("registration lapsed while the store was away: kept for now")
 		return false
 	}
-	m.markGone(id, old)
+	m.markDeparted(id, old)
 	log.Info("server gone")
 	return true
 }
 
 // expire takes lapsed servers as gone whose time is over.
-func (m *Membership) expire() bool {
+func (m *Membership) expireLapsed() bool {
 	changed := false
 	for id, until := range m.lapsed {
 		if m.now().After(until) {
 			delete(m.lapsed, id)
-			m.markGone(id, m.decoded[id])
+			m.markDeparted(id, m.decoded[id])
 			m.log.WithField("server", id).Info("server gone: not registered again after the store's outage")
 			changed = true
 		}
 	}
-	return m.releaseHeld() || changed
+	return m.releaseSuppressed() || changed
 }
 
 func (m *Membership) publish() {
@@ -350,44 +350,44 @@
 		list = append(list, server)
 	}
 	servers := fleet.NewServers(list)
-	m.present.Store(servers)
+	m.currentServers.Store(servers)
 	for _, f := range m.onServers {
 		f(servers)
 	}
 }
 
 // storeFailed notes that the store couldn't be reached.
-func (m *Membership) storeFailed() {
+func (m *Membership) markStoreUnreachable() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if !m.away {
-		m.away, m.peerNews = true, false
+	if !m.storeUnreachable {
+		m.storeUnreachable, m.peerAhead = true, false
 	}
 }
 
 // storeReached notes that a read has been taken in.
-func (m *Membership) storeReached() {
+func (m *Membership) markStoreReachable() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.away = false
+	m.storeUnreachable = false
 }
 
 // heardFromPeer notes that another daemon knew newer registrations.
-func (m *Membership) heardFromPeer() {
+func (m *Membership) markPeerAhead() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.peerNews = true
+	m.peerAhead = true
 }
 
 // keptLapses returns the deleted registrations that are kept, and for how long still.
-func (m *Membership) keptLapses() map[string]time.Duration {
+func (m *Membership) pendingLapses() map[string]time.Duration {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	kept := make(map[string]time.Duration, len(m.lapsed))
+	pending := make(map[string]time.Duration, len(m.lapsed))
 	for id, until := range m.lapsed {
-		if left := until.Sub(m.now()); left > 0 {
-			kept[id] = left
+		if remaining := until.Sub(m.now()); remaining > 0 {
+			pending[id] = remaining
 		}
 	}
-	return kept
+	return pending
 }
--- a/internal/membership/membership_suite_test.go
+++ b/internal/membership/membership_suite_test.go
@@ -58,7 +58,7 @@
 }
 
 // comeBack takes the store to the next era, with the first records of each topic.
-func (s *fakeStore) comeBack(operators, servers int) {
+func (s *fakeStore) restoreCopy(operators, servers int) {
 	s.era++
 	for topic, kept := range map[Topic]int{TopicOperators: operators, TopicServers: servers} {
 		s.records[topic] = slices.Clone(s.records[topic][:min(kept, len(s.records[topic]))])
@@ -106,7 +106,7 @@
 	return found, storelog.NewPosition(s.era, int64(len(s.records[topic]))), nil
 }
 
-type bench struct {
+type fixture struct {
 	now      time.Time
 	store    *fakeStore
 	members  *Membership
@@ -114,23 +114,23 @@
 	logs     *logrustest.Hook
 }
 
-func newBench() *bench {
+func newFixture() *fixture {
 	logger, logs := logrustest.NewNullLogger()
-	b := &bench{now: time.Unix(1000, 0), store: newFakeStore(), logs: logs}
+	b := &fixture{now: time.Unix(1000, 0), store: newFakeStore(), logs: logs}
 	log := logrus.NewEntry(logger)
 	b.members = New(plainDecoder{}, func() time.Time { return b.now }, log)
 	b.follower = NewFollower(b.members, b.store, nil, 0, log)
 	return b
 }
 
-func (b *bench) read() error {
+func (b *fixture) read() error {
 	config := b.follower.readConfig(context.Background())
 	servers := b.follower.readServers(context.Background())
-	b.follower.note(servers)
+	b.follower.recordStoreResult(servers)
 	return errors.Join(config, servers)
 }
 
-func (b *bench) ids() []string {
+func (b *fixture) ids() []string {
 	var ids []string
 	for id := range b.members.Servers().All() {
 		ids = append(ids, id)
@@ -140,7 +140,7 @@
 
 var _ = Describe("following the store", func() {
 	It("knows nothing until it has read both topics", func() {
-		b := newBench()
+		b := newFixture()
 		Expect(b.members.Config()).To(BeNil())
 		Expect(b.members.Servers()).To(BeNil())
 		b.store.append(TopicOperators, "config", "4")
@@ -150,7 +150,7 @@
 	})
 
 	It("puts newer configurations in force and never an older one", func() {
-		b := newBench()
+		b := newFixture()
 		b.store.append(TopicOperators, "config", "4")
 		Expect(b.read()).To(Succeed())
 		b.store.append(TopicOperators, "config", "9")
@@ -160,7 +160,7 @@
 	})
 
 	It("keeps the last configuration when one doesn't decode, and says so", func() {
-		b := newBench()
+		b := newFixture()
 		b.store.append(TopicOperators, "config", "4")
 		Expect(b.read()).To(Succeed())
 		b.store.append(TopicOperators, "config", "rubbish")
@@ -171,7 +171,7 @@
 	})
 
 	It("sees servers come, leave and go", func() {
-		b := newBench()
+		b := newFixture()
 		b.store.append(TopicServers, "a", "1.1.1.1:1")
 		Expect(b.read()).To(Succeed())
 		b.store.append(TopicServers, "a", "1.1.1.1:1 leaving")
@@ -183,7 +183,7 @@
 	})
 
 	It("reads the newest of each key when the history is gone, and drops who is missing", func() {
-		b := newBench()
+		b := newFixture()
 		b.store.append(TopicServers, "a", "1.1.1.1:1")
 		b.store.append(TopicServers, "b", "1.1.1.2:1")
 		Expect(b.read()).To(Succeed())
@@ -196,7 +196,7 @@
 
 	Describe("around an outage", func() {
 		It("keeps a lapsed server until it has had the time to register again", func() {
-			b := newBench()
+			b := newFixture()
 			b.store.append(TopicServers, "a", "1.1.1.1:1")
 			b.store.append(TopicServers, "b", "1.1.1.2:1")
 			Expect(b.read()).To(Succeed())
@@ -214,7 +214,7 @@
 		})
 
 		It("takes a server that goes after the first read as gone at once", func() {
-			b := newBench()
+			b := newFixture()
 			b.store.append(TopicServers, "a", "1.1.1.1:1")
 			Expect(b.read()).To(Succeed())
 			b.store.err = errors.New("down")
@@ -227,7 +227,7 @@
 		})
 
 		It("takes a server as gone at once when the store was away for this daemon only", func() {
-			b, other := newBench(), newBench()
+			b, other := newFixture(), newFixture()
 			b.store.append(TopicServers, "a", "1.1.1.1:1")
 			Expect(b.read()).To(Succeed())
 			other.store.append(TopicServers, "a", "1.1.1.1:1")
@@ -244,7 +244,7 @@
 		})
 
 		It("takes a server that was leaving as gone at once", func() {
-			b := newBench()
+			b := newFixture()
 			b.store.append(TopicServers, "a", "1.1.1.1:1 leaving")
 			Expect(b.read()).To(Succeed())
 			b.store.err = errors.New("down")
@@ -256,7 +256,7 @@
 		})
 
 		It("logs the loss and the return once each", func() {
-			b := newBench()
+			b := newFixture()
 			Expect(b.read()).To(Succeed())
 			b.store.err = errors.New("down")
 			for range 3 {
@@ -283,7 +283,7 @@
 
 var _ = Describe("daemons among themselves", func() {
 	// serve puts an exchange on a loopback port and returns its address.
-	serve := func(b *bench) (string, *Exchange) {
+	serve := func(b *fixture) (string, *Exchange) {
 		e := NewExchange(b.members, Peer{}, nil, http.DefaultClient, logrus.NewEntry(logrus.New()))
 		server := httptest.NewServer(peerrpc.NewMembershipServer(e))
 		DeferCleanup(server.Close)
@@ -291,7 +291,7 @@
 	}
 
 	It("pass on what the asking side lacks", func() {
-		knowing, asking := newBench(), newBench()
+		knowing, asking := newFixture(), newFixture()
 		knowing.store.append(TopicOperators, "config", "5")
 		knowing.store.append(TopicServers, "a", "1.1.1.1:1")
 		Expect(knowing.read()).To(Succeed())
@@ -303,7 +303,7 @@
 	})
 
 	It("send nothing to the asked side, however much it lacks: it asks itself", func() {
-		asked, asking := newBench(), newBench()
+		asked, asking := newFixture(), newFixture()
 		asking.store.append(TopicOperators, "config", "5")
 		Expect(asking.read()).To(Succeed())
 		address, server := serve(asked)
@@ -320,7 +320,7 @@
 	})
 
 	It("leave the configuration out when only servers are asked for", func() {
-		knowing, asking := newBench(), newBench()
+		knowing, asking := newFixture(), newFixture()
 		knowing.store.append(TopicOperators, "config", "5")
 		knowing.store.append(TopicServers, "a", "1.1.1.1:1")
 		Expect(knowing.read()).To(Succeed())
@@ -334,7 +334,7 @@
 	})
 
 	It("never bring an older configuration back", func() {
-		old, newer := newBench(), newBench()
+		old, newer := newFixture(), newFixture()
 		old.store.append(TopicOperators, "config", "5")
 		Expect(old.read()).To(Succeed())
 		newer.store.append(TopicOperators, "config", "5")
@@ -347,7 +347,7 @@
 	})
 
 	It("learn of each other", func() {
-		asked, asking := newBench(), newBench()
+		asked, asking := newFixture(), newFixture()
 		address, server := serve(asked)
 		e := NewExchange(asking.members, Peer{Control: "10.0.0.9:1"}, []string{address}, http.DefaultClient, asking.follower.log)
 		Expect(e.Pull(context.Background(), address)).To(Succeed())
--- a/internal/membership/reader.go
+++ b/internal/membership/reader.go
@@ -12,7 +12,7 @@
 	readerTimeout = 200 * time.Millisecond
 	// readerPause is how long a reader that failed or was stale isn't asked again: a few
 	// reads of the store, and as long as most VMs take to come back.
-	readerPause = 5 * time.Second
+	readerRetryDelay = 5 * time.Second
 )
 
 // reader returns the daemon that reads the registrations for all of its zone: the
@@ -25,7 +25,7 @@
 	now := e.members.now()
 	first := e.self.Control
 	for address, known := range e.peers {
-		if known.zone != e.self.Zone || address == e.self.Control || now.Sub(known.heard) > peerForget {
+		if known.zone != e.self.Zone || address == e.self.Control || now.Sub(known.lastSeen) > peerExpiry {
 			continue
 		}
 		shared = true
@@ -60,14 +60,14 @@
 	ctx, cancel := context.WithTimeout(ctx, readerTimeout)
 	defer cancel()
 	err := e.Pull(ctx, reader)
-	asOf := e.members.asOf()
+	asOf := e.members.registrationsAsOf()
 	if err == nil && e.members.now().Sub(asOf) <= maxAge {
 		return true
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	known := e.peers[reader]
-	known.avoidUntil = e.members.now().Add(readerPause)
+	known.avoidUntil = e.members.now().Add(readerRetryDelay)
 	e.peers[reader] = known
 	e.log.WithError(err).WithField("peer", reader).WithField("age_ms", ageMs(e.members.now(), asOf)).
 		Info("zone reader failed or is stale: registrations are read from the store")
--- a/internal/membership/reader_test.go
+++ b/internal/membership/reader_test.go
@@ -16,16 +16,16 @@
 )
 
 // served is a daemon whose exchange others can ask.
-type served struct {
-	*bench
+type servedDaemon struct {
+	*fixture
 	exchange *Exchange
 	address  string
-	asked    atomic.Int64
+	calls    atomic.Int64
 }
 
 // serveIn puts a daemon of a zone on a loopback port. Its follower has the zone.
-func serveIn(zone string, store *fakeStore) *served {
-	s := &served{bench: newBench()}
+func serveInZone(zone string, store *fakeStore) *servedDaemon {
+	s := &servedDaemon{fixture: newFixture()}
 	s.store = store
 	server := httptest.NewUnstartedServer(nil)
 	s.address = server.Listener.Addr().String()
@@ -34,7 +34,7 @@
 	s.exchange = NewExchange(s.members, Peer{Control: s.address, Zone: zone}, nil, http.DefaultClient, log)
 	calls := peerrpc.NewMembershipServer(s.exchange)
 	server.Config.Handler = http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		s.asked.Add(1)
+		s.calls.Add(1)
 		calls.ServeHTTP(w, r)
 	})
 	server.Start()
@@ -44,8 +44,8 @@
 }
 
 // zoneOf returns two daemons of a zone that know each other, the reader first.
-func zoneOf(store *fakeStore) (reader, other *served) {
-	reader, other = serveIn("z", store), serveIn("z", store)
+func pairInZone(store *fakeStore) (reader, other *servedDaemon) {
+	reader, other = serveInZone("z", store), serveInZone("z", store)
 	if other.address < reader.address {
 		reader, other = other, reader
 	}
@@ -55,7 +55,7 @@
 
 var _ = Describe("the registrations of a reader whose VM was suspended", func() {
 	It("are told with their true age, so that nobody takes them for fresh", func() {
-		b := newBench()
+		b := newFixture()
 		boot := time.Hour
 		clk, err := clock.NewFrom(func() time.Time { return b.now }, func() (time.Duration, error) { return boot, nil })
 		Expect(err).NotTo(HaveOccurred())
@@ -73,47 +73,47 @@
 
 var _ = Describe("the registrations of a zone", func() {
 	// ownPace is the time between a reader's own reads.
-	const ownPace = time.Duration(readerPart * float64(serversPace))
+	const ownPace = time.Duration(readerIntervalFraction * float64(defaultInterval))
 	ctx := context.Background()
 
 	It("are read by one daemon, and the others ask it", func() {
 		store := newFakeStore()
 		store.append(TopicServers, "a", "1.1.1.1:1")
-		reader, other := zoneOf(store)
+		reader, other := pairInZone(store)
 		Expect(reader.follower.refreshServers(ctx)).To(Equal(ownPace))
 		reads := store.reads
-		Expect(other.follower.refreshServers(ctx)).To(BeNumerically("~", serversPace, time.Millisecond))
+		Expect(other.follower.refreshServers(ctx)).To(BeNumerically("~", defaultInterval, time.Millisecond))
 		Expect(store.reads).To(Equal(reads))
 		Expect(other.ids()).To(ConsistOf("a"))
 	})
 
 	It("are as new at the others as if they had read them: the reader's age counts", func() {
 		store := newFakeStore()
-		reader, other := zoneOf(store)
+		reader, other := pairInZone(store)
 		reader.follower.refreshServers(ctx)
 		reader.now = reader.now.Add(300 * time.Millisecond)
-		Expect(other.follower.refreshServers(ctx)).To(BeNumerically("~", serversPace-300*time.Millisecond, 5*time.Millisecond))
+		Expect(other.follower.refreshServers(ctx)).To(BeNumerically("~", defaultInterval-300*time.Millisecond, 5*time.Millisecond))
 	})
 
 	It("are read from the store while the reader's are too old", func() {
 		store := newFakeStore()
-		reader, other := zoneOf(store)
+		reader, other := pairInZone(store)
 		reader.follower.refreshServers(ctx)
-		reader.now = reader.now.Add(serversPace)
+		reader.now = reader.now.Add(defaultInterval)
 		reads := store.reads
 		Expect(other.follower.refreshServers(ctx)).To(Equal(ownPace), "it's the zone's reader meanwhile")
 		Expect(store.reads).To(Equal(reads + 1))
-		asked := reader.asked.Load()
+		asked := reader.calls.Load()
 		other.follower.refreshServers(ctx)
-		Expect(reader.asked.Load()).To(Equal(asked), "a reader that was stale isn't asked again at once")
-		other.now = other.now.Add(readerPause + time.Millisecond)
+		Expect(reader.calls.Load()).To(Equal(asked), "a reader that was stale isn't asked again at once")
+		other.now = other.now.Add(readerRetryDelay + time.Millisecond)
 		other.follower.refreshServers(ctx)
-		Expect(reader.asked.Load()).To(Equal(asked + 1))
+		Expect(reader.calls.Load()).To(Equal(asked + 1))
 	})
 
 	It("are read from the store when the reader doesn't tell how old its are", func() {
 		store := newFakeStore()
-		reader, other := zoneOf(store)
+		reader, other := pairInZone(store)
 		reader.follower.refreshServers(ctx)
 		reader.members.serversAsOf = time.Time{}
 		reads := store.reads
@@ -122,25 +122,25 @@
 	})
 
 	It("aren't taken as fresh from a daemon of a release that tells no age", func() {
-		asking := serveIn("z", newFakeStore())
-		asking.exchange.takeIn(&peerrpc.ExchangeReply{Servers: &peerrpc.Topic{}}, asking.now, "earlier release")
-		Expect(asking.members.asOf().IsZero()).To(BeTrue())
+		asking := serveInZone("z", newFakeStore())
+		asking.exchange.mergeReply(&peerrpc.ExchangeReply{Servers: &peerrpc.Topic{}}, asking.now, "earlier release")
+		Expect(asking.members.registrationsAsOf().IsZero()).To(BeTrue())
 	})
 
 	It("are read from the store when the reader can't be reached", func() {
 		store := newFakeStore()
 		store.append(TopicServers, "a", "1.1.1.1:1")
-		other := serveIn("z", store)
-		other.exchange.heardOf(Peer{Control: "0.0.0.0:1", Zone: "z"})
+		other := serveInZone("z", store)
+		other.exchange.recordContact(Peer{Control: "0.0.0.0:1", Zone: "z"})
 		Expect(other.follower.refreshServers(ctx)).To(Equal(ownPace))
 		Expect(other.ids()).To(ConsistOf("a"))
 	})
 
 	It("are read by each zone for itself", func() {
 		store := newFakeStore()
-		here, there := serveIn("z1", store), serveIn("z2", store)
+		here, there := serveInZone("z1", store), serveInZone("z2", store)
 		Expect(here.exchange.Pull(ctx, there.address)).To(Succeed())
-		for _, daemon := range []*served{here, there} {
+		for _, daemon := range []*servedDaemon{here, there} {
 			Expect(daemon.exchange.ReadsForZone()).To(BeFalse())
 			reads := store.reads
 			daemon.follower.refreshServers(ctx)
@@ -153,14 +153,14 @@
 		store := newFakeStore()
 		store.append(TopicServers, "a", "1.1.1.1:1")
 		store.append(TopicServers, "b", "1.1.1.2:1")
-		reader, other := zoneOf(store)
+		reader, other := pairInZone(store)
 		reader.follower.refreshServers(ctx)
 		other.follower.refreshServers(ctx)
 		known := other.members.positions().servers
 		store.append(TopicServers, "a", "1.1.1.1:1")
 		store.append(TopicServers, "b", "1.1.1.2:1 leaving")
 		reader.follower.refreshServers(ctx)
-		_, changes := reader.exchange.changes(&peerrpc.ExchangeRequest{ServersNext: known.Offset()})
+		_, changes := reader.exchange.changesSince(&peerrpc.ExchangeRequest{ServersNext: known.Offset()})
 		Expect(changes.GetRecords()).To(HaveLen(1))
 		Expect(changes.GetRecords()[0].GetKey()).To(Equal("b"))
 		other.follower.refreshServers(ctx)
@@ -170,10 +170,10 @@
 
 	Describe("that lapsed in an outage", func() {
 		// lapsed returns a zone whose reader alone has seen an outage, in which a lapsed.
-		lapsed := func() (reader, other *served) {
+		lapsed := func() (reader, other *servedDaemon) {
 			store := newFakeStore()
 			store.append(TopicServers, "a", "1.1.1.1:1")
-			reader, other = zoneOf(store)
+			reader, other = pairInZone(store)
 			reader.follower.refreshServers(ctx)
 			other.follower.refreshServers(ctx)
 			store.err = errors.New("down")
@@ -188,7 +188,7 @@
 		It("are kept by those who ask for as long as by the reader", func() {
 			reader, other := lapsed()
 			Expect(other.ids()).To(ConsistOf("a"))
-			for _, daemon := range []*served{reader, other} {
+			for _, daemon := range []*servedDaemon{reader, other} {
 				daemon.now = daemon.now.Add(outageGrace + time.Millisecond)
 				daemon.follower.refreshServers(ctx)
 				Expect(daemon.ids()).To(BeEmpty())
@@ -198,7 +198,7 @@
 		It("stay when they are registered again as before", func() {
 			reader, other := lapsed()
 			reader.store.append(TopicServers, "a", "1.1.1.1:1")
-			for _, daemon := range []*served{reader, other} {
+			for _, daemon := range []*servedDaemon{reader, other} {
 				daemon.follower.refreshServers(ctx)
 				daemon.now = daemon.now.Add(outageGrace + time.Millisecond)
 				daemon.follower.refreshServers(ctx)
--- a/internal/membership/reconcile.go
+++ b/internal/membership/reconcile.go
@@ -13,15 +13,15 @@
 // departure is the end of a server's registration.
 type departure struct {
 	// start is the key of the server's start that went away.
-	start string
-	at    time.Time
+	key string
+	at  time.Time
 }
 
 // markGone takes a server as gone.
-func (m *Membership) markGone(id string, server *fleet.Server) {
+func (m *Membership) markDeparted(id string, server *fleet.Server) {
 	delete(m.decoded, id)
 	if server != nil {
-		m.departed[id] = departure{start: server.Key(), at: m.now()}
+		m.departed[id] = departure{key: server.Key(), at: m.now()}
 	}
 	for other, d := range m.departed {
 		if m.now().Sub(d.at) > departureHold {
@@ -33,17 +33,17 @@
 // reconcile amends registrations that come from an older copy of the store by what is known
 // to be newer: who leaves goes on leaving, who has gone stays away for a while, and who is
 // missing has the time to register again.
-func (m *Membership) reconcile(r *registrations) {
+func (m *Membership) reconcileOlderCopy(r *serverUpdate) {
 	if r.lapses == nil {
 		r.lapses = map[string]time.Duration{}
 	}
-	kept := make(map[string]bool, len(r.records))
+	present := make(map[string]bool, len(r.records))
 	for i, record := range r.records {
 		r.records[i].Value = m.newerValue(record)
-		kept[record.Key] = len(record.Value) == 0 || len(r.records[i].Value) > 0
+		present[record.Key] = len(record.Value) == 0 || len(r.records[i].Value) > 0
 	}
 	for id, server := range m.decoded {
-		if !kept[id] && !server.Leaving {
+		if !present[id] && !server.Leaving {
 			r.lapses[id] = max(r.lapses[id], outageGrace)
 		}
 	}
@@ -54,26 +54,26 @@
 	if len(r.Value) == 0 {
 		return nil
 	}
-	told, err := m.decoder.DecodeServer(r.Key, r.Value)
+	listed, err := m.decoder.DecodeServer(r.Key, r.Value)
 	if err != nil {
 		return r.Value // is refused, and said so, where it's taken in
 	}
 	log := m.log.WithField("server", r.Key).WithField("position", r.Position.String())
 	known := m.servers.records[r.Key].Value
-	if old := m.decoded[r.Key]; old != nil && len(known) > 0 && later(old, told) {
+	if old := m.decoded[r.Key]; old != nil && len(known) > 0 && isLater(old, listed) {
 		log.Info("the store's copy is older than what is known of the server: that stays")
 		return known
 	}
-	if d, gone := m.departed[r.Key]; gone && d.start == told.Key() && m.now().Sub(d.at) <= departureHold {
+	if d, gone := m.departed[r.Key]; gone && d.key == listed.Key() && m.now().Sub(d.at) <= departureHold {
 		log.Info("the store's copy lists a server that has gone: not used for now")
-		m.held[r.Key] = r
+		m.suppressed[r.Key] = r
 		return nil
 	}
 	return r.Value
 }
 
 // later tells whether a registration of one start of a server was written after another.
-func later(a, b *fleet.Server) bool {
+func isLater(a, b *fleet.Server) bool {
 	if a.Key() != b.Key() {
 		return false
 	}
@@ -91,18 +91,18 @@
 
 // releaseHeld uses servers again that the registry still lists though they were taken as
 // gone. It returns whether there are any.
-func (m *Membership) releaseHeld() bool {
+func (m *Membership) releaseSuppressed() bool {
 	released := false
-	for id, r := range m.held {
+	for id, r := range m.suppressed {
 		if m.now().Sub(m.departed[id].at) <= departureHold {
 			continue
 		}
-		delete(m.held, id)
+		delete(m.suppressed, id)
 		if known := m.servers.records[id]; known.Position != r.Position {
 			continue
 		}
 		m.servers.records[id] = r
-		released = m.applyServer(id, registrations{source: fromStore}) || released
+		released = m.applyServer(id, serverUpdate{source: sourceStore}) || released
 	}
 	return released
 }
--- a/internal/membership/restoredstore_property_test.go
+++ b/internal/membership/restoredstore_property_test.go
@@ -23,55 +23,55 @@
 type stage int
 
 const (
-	unheard stage = iota
+	unknown stage = iota
 	up
 	leaving
 	gone
 )
 
 // eraWorld has daemons that read a store and ask each other; the store comes back from copies.
-type eraWorld struct {
+type restoredStoreModel struct {
 	store   *fakeStore
-	daemons []*bench
+	daemons []*fixture
 	version int64
 	// truth is the stage of each server's life, believed what each daemon knew of it last.
-	truth    map[string]stage
-	believed []map[string]stage
+	actual   map[string]stage
+	observed []map[string]stage
 	versions []int64
 	// copied is how many records of each topic the newest copy has.
 	copied [topicCount]int
 }
 
-func (w *eraWorld) start(i int) {
-	b := newBench()
+func (w *restoredStoreModel) start(i int) {
+	b := newFixture()
 	b.store, b.follower.store = w.store, w.store
-	w.daemons[i], w.believed[i], w.versions[i] = b, map[string]stage{}, 0
+	w.daemons[i], w.observed[i], w.versions[i] = b, map[string]stage{}, 0
 }
 
-func (w *eraWorld) configure() {
+func (w *restoredStoreModel) writeConfig() {
 	w.version++
 	w.store.append(TopicOperators, "config", strconv.FormatInt(w.version, 10))
 }
 
 // register writes what is true of a server.
-func (w *eraWorld) register(id string) {
+func (w *restoredStoreModel) register(id string) {
 	address := "1.1.1.1:" + id[1:]
-	w.store.append(TopicServers, id, map[stage]string{up: address, leaving: address + " leaving"}[w.truth[id]])
+	w.store.append(TopicServers, id, map[stage]string{up: address, leaving: address + " leaving"}[w.actual[id]])
 }
 
 // live takes a server on in its life.
-func (w *eraWorld) live(t *rapid.T) {
+func (w *restoredStoreModel) advanceServer(t *rapid.T) {
 	id := fmt.Sprint("s", rapid.IntRange(1, 4).Draw(t, "server"))
-	if w.truth[id] < gone {
-		w.truth[id]++
+	if w.actual[id] < gone {
+		w.actual[id]++
 		w.register(id)
 	}
 }
 
 // read lets a daemon read both topics once; a read that was woken begins again.
-func (w *eraWorld) read(t *rapid.T, i int) {
+func (w *restoredStoreModel) read(t *rapid.T, i int) {
 	err := w.daemons[i].read()
-	for errors.Is(err, errReread) {
+	for errors.Is(err, errReadRestarted) {
 		err = w.daemons[i].read()
 	}
 	if err != nil {
@@ -80,7 +80,7 @@
 }
 
 // look notes what a daemon believes, and checks that it hasn't gone back.
-func (w *eraWorld) look(t *rapid.T, i int) {
+func (w *restoredStoreModel) checkMonotonic(t *rapid.T, i int) {
 	for _, topic := range []*topic{w.daemons[i].members.operators, w.daemons[i].members.servers} {
 		for key, r := range topic.records {
 			if r.Position.Era() != topic.next.Era() {
@@ -98,31 +98,31 @@
 	if servers == nil {
 		return
 	}
-	for id, truth := range w.truth {
-		now := unheard
+	for id, truth := range w.actual {
+		now := unknown
 		if server := servers.ByID(id); server != nil {
 			now = up
 			if server.Leaving {
 				now = leaving
 			}
-		} else if w.believed[i][id] > unheard && truth == gone {
+		} else if w.observed[i][id] > unknown && truth == gone {
 			now = gone
 		}
-		if now != unheard && now < w.believed[i][id] {
-			t.Fatalf("daemon %d believed server %s at stage %d, now at %d", i, id, w.believed[i][id], now)
+		if now != unknown && now < w.observed[i][id] {
+			t.Fatalf("daemon %d believed server %s at stage %d, now at %d", i, id, w.observed[i][id], now)
 		}
-		w.believed[i][id] = max(now, w.believed[i][id])
+		w.observed[i][id] = max(now, w.observed[i][id])
 	}
 }
 
 // settle writes again what was lost, as operators and servers do, and lets all read it.
-func (w *eraWorld) settle(t *rapid.T) {
+func (w *restoredStoreModel) checkConvergence(t *rapid.T) {
 	w.store.append(TopicOperators, "config", strconv.FormatInt(w.version, 10))
-	for id := range w.truth {
+	for id := range w.actual {
 		w.register(id)
 	}
 	want := map[string]bool{}
-	for id, stage := range w.truth {
+	for id, stage := range w.actual {
 		if stage < gone {
 			want[id] = stage == leaving
 		}
@@ -142,38 +142,38 @@
 	}
 }
 
-func TestNothingGetsOlderHoweverOftenTheStoreDoes(t *testing.T) {
+func TestStateNeverRegressesAcrossStoreRestores(t *testing.T) {
 	RegisterTestingT(t)
 	rapid.Check(t, func(t *rapid.T) {
 		const daemons = 3
-		w := &eraWorld{
-			store: newFakeStore(), daemons: make([]*bench, daemons), versions: make([]int64, daemons),
-			truth: map[string]stage{}, believed: make([]map[string]stage, daemons),
+		w := &restoredStoreModel{
+			store: newFakeStore(), daemons: make([]*fixture, daemons), versions: make([]int64, daemons),
+			actual: map[string]stage{}, observed: make([]map[string]stage, daemons),
 		}
 		for i := range daemons {
 			w.start(i)
 		}
-		w.configure()
+		w.writeConfig()
 		one := func(t *rapid.T) int { return rapid.IntRange(0, daemons-1).Draw(t, "daemon") }
 		read := func(t *rapid.T) {
 			i := one(t)
 			w.read(t, i)
-			w.look(t, i)
+			w.checkMonotonic(t, i)
 		}
 		ask := func(t *rapid.T) {
 			i := one(t)
-			askOf(w.daemons[i], w.daemons[(i+1)%daemons])
-			w.look(t, i)
+			pullFrom(w.daemons[i], w.daemons[(i+1)%daemons])
+			w.checkMonotonic(t, i)
 		}
 		t.Repeat(map[string]func(*rapid.T){
-			"configure": func(*rapid.T) { w.configure() }, "live": w.live, "live on": w.live,
+			"configure": func(*rapid.T) { w.writeConfig() }, "live": w.advanceServer, "live on": w.advanceServer,
 			"read": read, "read again": read, "ask": ask, "ask again": ask,
 			"copy": func(*rapid.T) {
 				w.copied = [topicCount]int{len(w.store.records[TopicOperators]), len(w.store.records[TopicServers])}
 			},
-			"come back": func(*rapid.T) { w.store.comeBack(w.copied[TopicOperators], w.copied[TopicServers]) },
+			"come back": func(*rapid.T) { w.store.restoreCopy(w.copied[TopicOperators], w.copied[TopicServers]) },
 			"start":     func(t *rapid.T) { w.start(one(t)) },
 		})
-		w.settle(t)
+		w.checkConvergence(t)
 	})
 }
--- a/internal/membership/restoredstore_test.go
+++ b/internal/membership/restoredstore_test.go
@@ -11,7 +11,7 @@
 )
 
 // askOf makes one daemon ask another.
-func askOf(asking, asked *bench) {
+func pullFrom(asking, asked *fixture) {
 	from := NewExchange(asked.members, Peer{}, nil, nil, asked.follower.log)
 	to := NewExchange(asking.members, Peer{}, nil, nil, asking.follower.log)
 	known := asking.members.positions()
@@ -21,13 +21,13 @@
 		ServersNext: known.servers.Offset(), ServersEra: &serversEra, ConfigurationVersion: &version,
 	})
 	Expect(err).NotTo(HaveOccurred())
-	to.takeIn(reply, asking.now, "peer")
+	to.mergeReply(reply, asking.now, "peer")
 }
 
 var _ = Describe("a store that comes back from an older copy", func() {
-	var b *bench
+	var b *fixture
 	BeforeEach(func() {
-		b = newBench()
+		b = newFixture()
 		for _, version := range []string{"1", "2", "3"} {
 			b.store.append(TopicOperators, "config", version)
 		}
@@ -41,10 +41,10 @@
 		Expect(b.read()).To(Succeed())
 		Expect(b.ids()).To(ConsistOf("a", "b", "d"))
 	})
-	inForce := func(b *bench) int64 { return b.members.Config().Version }
+	inForce := func(b *fixture) int64 { return b.members.Config().Version }
 
 	It("takes no configuration back, and brings newer ones at offsets that others had", func() {
-		b.store.comeBack(1, 3)
+		b.store.restoreCopy(1, 3)
 		Expect(b.read()).To(Succeed())
 		Expect(inForce(b)).To(Equal(int64(3)))
 		b.store.append(TopicOperators, "config", "4")
@@ -54,7 +54,7 @@
 	})
 
 	It("doesn't bring back who leaves or has gone, nor take away who has the time to register again", func() {
-		b.store.comeBack(1, 3)
+		b.store.restoreCopy(1, 3)
 		Expect(b.read()).To(Succeed())
 		Expect(b.ids()).To(ConsistOf("a", "b", "d"))
 		Expect(b.members.Servers().ByID("b").Leaving).To(BeTrue())
@@ -68,7 +68,7 @@
 	})
 
 	It("drops at once who goes after the return", func() {
-		b.store.comeBack(1, 3)
+		b.store.restoreCopy(1, 3)
 		Expect(b.read()).To(Succeed())
 		b.store.append(TopicServers, "c", "")
 		b.store.append(TopicServers, "a", "")
@@ -81,7 +81,7 @@
 
 	It("brings changes whose positions are lower than known ones, also when it comes back twice", func() {
 		for range 2 {
-			b.store.comeBack(1, 3)
+			b.store.restoreCopy(1, 3)
 			Expect(b.read()).To(Succeed())
 		}
 		b.store.append(TopicServers, "a", "1.1.1.1:1 leaving")
@@ -91,44 +91,44 @@
 	})
 
 	It("is known from others to a daemon that can't reach it", func() {
-		cut := newBench()
-		askOf(cut, b)
-		b.store.comeBack(1, 3)
+		cut := newFixture()
+		pullFrom(cut, b)
+		b.store.restoreCopy(1, 3)
 		b.store.append(TopicOperators, "config", "5")
 		b.store.append(TopicServers, "a", "1.1.1.1:1 leaving")
 		Expect(b.read()).To(Succeed())
-		askOf(cut, b)
+		pullFrom(cut, b)
 		Expect(inForce(cut)).To(Equal(int64(5)))
 		Expect(cut.members.Servers().ByID("a").Leaving).To(BeTrue())
 		Expect(cut.members.Servers().ByID("b").Leaving).To(BeTrue())
-		askOf(b, cut)
+		pullFrom(b, cut)
 		Expect(inForce(b)).To(Equal(int64(5)))
 	})
 
 	It("hides no configuration from a daemon that starts, nor from one that asks a daemon of a former era", func() {
-		former := newBench()
-		askOf(former, b)
-		b.store.comeBack(1, 3)
-		started := newBench()
+		former := newFixture()
+		pullFrom(former, b)
+		b.store.restoreCopy(1, 3)
+		started := newFixture()
 		started.store = b.store
 		started.follower.store = b.store
 		Expect(started.read()).To(Succeed())
 		Expect(inForce(started)).To(Equal(int64(1)), "that's all the store has")
 		position := started.members.positions()
-		askOf(started, former)
+		pullFrom(started, former)
 		Expect(inForce(started)).To(Equal(int64(3)))
 		Expect(started.members.positions()).To(Equal(position))
 		Expect(b.read()).To(Succeed())
-		other := newBench()
+		other := newFixture()
 		other.follower.store = b.store
 		Expect(other.read()).To(Succeed())
-		askOf(other, b)
+		pullFrom(other, b)
 		Expect(inForce(other)).To(Equal(int64(3)))
 	})
 
 	It("isn't asked without a pause when it names no era", func() {
 		b.store.records[TopicOperators] = b.store.records[TopicOperators][:1]
-		Expect(b.follower.readConfig(context.Background())).To(MatchError(errBehind))
+		Expect(b.follower.readConfig(context.Background())).To(MatchError(errStoreBehind))
 		Expect(inForce(b)).To(Equal(int64(3)))
 		for _, version := range []string{"4", "5", "6"} {
 			b.store.append(TopicOperators, "config", version)
@@ -144,9 +144,9 @@
 		Expect(err).NotTo(HaveOccurred())
 		Expect(reply.GetOperators().GetRecords()).To(BeEmpty())
 		Expect(reply.GetServers().GetRecords()).To(HaveLen(1))
-		b.store.comeBack(3, 6)
+		b.store.restoreCopy(3, 6)
 		Expect(b.read()).To(Succeed())
-		NewExchange(b.members, Peer{}, nil, nil, b.follower.log).takeIn(&peerrpc.ExchangeReply{
+		NewExchange(b.members, Peer{}, nil, nil, b.follower.log).mergeReply(&peerrpc.ExchangeReply{
 			Operators: &peerrpc.Topic{Next: 9, Records: []*peerrpc.Record{{Key: "config", Value: []byte("2"), Offset: 8}}},
 			Servers:   &peerrpc.Topic{Next: 9, Records: []*peerrpc.Record{{Key: "a", Offset: 8}}},
 		}, b.now, "earlier release")
--- a/internal/membership/topic.go
+++ b/internal/membership/topic.go
@@ -31,18 +31,18 @@
 	changed map[string]storelog.Position
 	// base is the position up to which only the newest of each key was read: deletions
 	// before it aren't among the records.
-	base storelog.Position
+	snapshotNext storelog.Position
 }
 
 func newTopic() *topic {
 	return &topic{
-		next: storelog.Unknown, records: map[string]Record{}, changed: map[string]storelog.Position{}, base: storelog.Unknown,
+		next: storelog.Unknown, records: map[string]Record{}, changed: map[string]storelog.Position{}, snapshotNext: storelog.Unknown,
 	}
 }
 
 // take takes in records up to the position next. It returns the keys that have a
 // newer record; markChanged says which of these are to be propagated.
-func (t *topic) take(records []Record, next storelog.Position) []string {
+func (t *topic) merge(records []Record, next storelog.Position) []string {
 	var changed []string
 	for _, r := range records {
 		if old, known := t.records[r.Key]; known && old.Position >= r.Position {
@@ -57,7 +57,7 @@
 
 // replace takes in the newest record of every key: keys that are missing were
 // deleted before the position next. It's the only way into another era of the store.
-func (t *topic) replace(records []Record, next storelog.Position) []string {
+func (t *topic) mergeSnapshot(records []Record, next storelog.Position) []string {
 	present := make(map[string]bool, len(records))
 	for _, r := range records {
 		present[r.Key] = true
@@ -68,8 +68,8 @@
 			records = append(records, Record{Key: key, Position: next - 1})
 		}
 	}
-	t.base = max(t.base, next)
-	return t.take(records, next)
+	t.snapshotNext = max(t.snapshotNext, next)
+	return t.merge(records, next)
 }
 
 // markChanged notes that a key's newest record is more than a heartbeat.
@@ -77,7 +77,7 @@
 
 // propagateOnly makes the topic propagate the keys of some records only. What an older copy of
 // the store lacks isn't known to have been deleted: each daemon judges that by itself.
-func (t *topic) propagateOnly(records []Record) {
+func (t *topic) limitPropagation(records []Record) {
 	listed := make(map[string]bool, len(records))
 	for _, r := range records {
 		listed[r.Key] = true
@@ -86,7 +86,7 @@
 }
 
 // since returns the newest records of the keys that changed from a position on.
-func (t *topic) since(from storelog.Position) []Record {
+func (t *topic) changedSince(from storelog.Position) []Record {
 	var found []Record
 	for key, changed := range t.changed {
 		if changed >= from {
--- a/internal/replica/replica.go
+++ b/internal/replica/replica.go
@@ -47,30 +47,30 @@
 	// recent are records of the state's era, up to its position.
 	recent []config.LogEntry
 	// formerChanges are changes that were known in former eras of the log.
-	formerChanges []config.RecentChange
+	priorEraChanges []config.RecentChange
 	// heldUntil is until when the view isn't replaced by one that lacks them.
-	heldUntil time.Time
-	changed   chan struct{}
-	confirmed time.Time // when the end of the log was last heard of
-	now       func() time.Time
-	wait      time.Duration // of one read for new records
-	silence   longpoll.Trust
-	behind    chan struct{} // ends a read that is silent about what a peer knows
-	reread    chan struct{} // ends a read that may hang, and goes back to the first source
+	viewHeldUntil time.Time
+	changed       chan struct{}
+	confirmed     time.Time // when the end of the log was last heard of
+	now           func() time.Time
+	pollTimeout   time.Duration // of one read for new records
+	readTrust     longpoll.Trust
+	peerAhead     chan struct{} // ends a read that is silent about what a peer knows
+	restartRead   chan struct{} // ends a read that may hang, and goes back to the first source
 
 	view atomic.Pointer[config.View]
 }
 
 // New returns a replica that has folded nothing.
 func New(now func() time.Time) *Replica {
-	r := &Replica{state: config.NewState(), changed: make(chan struct{}), now: now, wait: defaultWait, behind: make(chan struct{}, 1), reread: make(chan struct{}, 1)}
+	r := &Replica{state: config.NewState(), changed: make(chan struct{}), now: now, pollTimeout: defaultPollTimeout, peerAhead: make(chan struct{}, 1), restartRead: make(chan struct{}, 1)}
 	r.view.Store(r.state.View())
 	return r
 }
 
 // SetPollTimeout changes how long one read waits for new records, where each read is paid
 // for. It is called before Follow.
-func (r *Replica) SetPollTimeout(wait time.Duration) { r.wait = wait }
+func (r *Replica) SetPollTimeout(timeout time.Duration) { r.pollTimeout = timeout }
 
 // View returns the configuration in force here.
 func (r *Replica) View() *config.View { return r.view.Load() }
@@ -86,7 +86,7 @@
 func (r *Replica) Apply(batch Batch) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.confirm(batch.LogAge)
+	r.confirmEnd(batch.LogAge)
 	before := r.state.Position
 	defer func() {
 		if r.state.Position != before {
@@ -104,7 +104,7 @@
 		if err := r.state.Apply(entry); err != nil {
 			return err
 		}
-		r.keep(entry)
+		r.appendRecent(entry)
 	}
 	return nil
 }
@@ -123,23 +123,23 @@
 	return true
 }
 
-func (r *Replica) confirm(age time.Duration) {
-	heard := r.now().Add(-age)
-	if heard.After(r.confirmed) {
-		r.confirmed = heard
+func (r *Replica) confirmEnd(age time.Duration) {
+	confirmed := r.now().Add(-age)
+	if confirmed.After(r.confirmed) {
+		r.confirmed = confirmed
 	}
 }
 
 func (r *Replica) publish() {
-	if len(r.lost()) == 0 || !r.now().Before(r.heldUntil) {
-		r.formerChanges = nil
+	if len(r.missing()) == 0 || !r.now().Before(r.viewHeldUntil) {
+		r.priorEraChanges = nil
 		r.view.Store(r.state.View())
 	}
 	close(r.changed)
 	r.changed = make(chan struct{})
 }
 
-func (r *Replica) keep(entry config.LogEntry) {
+func (r *Replica) appendRecent(entry config.LogEntry) {
 	r.recent = append(r.recent, entry)
 	if len(r.recent) > 2*recentRecords {
 		r.recent = append([]config.LogEntry(nil), r.recent[len(r.recent)-recentRecords:]...)
@@ -159,9 +159,9 @@
 		if next <= r.Next() {
 			return
 		}
-		r.silence.Revoke(r.now())
+		r.readTrust.Revoke(r.now())
 		select {
-		case r.behind <- struct{}{}:
+		case r.peerAhead <- struct{}{}:
 		default: // it's about to end
 		}
 	})
--- a/internal/replica/replica_test.go
+++ b/internal/replica/replica_test.go
@@ -39,13 +39,13 @@
 
 // fakeSource serves another replica, or fails.
 type fakeSource struct {
-	name   string
-	from   *Replica
-	down   atomic.Bool
-	age    atomic.Int64 // milliseconds
-	asked  atomic.Int64
-	waited atomic.Int64 // the last read's wait
-	absent bool         // records were dropped; only a snapshot is left
+	name      string
+	from      *Replica
+	down      atomic.Bool
+	age       atomic.Int64 // milliseconds
+	asked     atomic.Int64
+	waited    atomic.Int64 // the last read's wait
+	truncated bool         // records were dropped; only a snapshot is left
 }
 
 func (f *fakeSource) Name() string { return f.name }
@@ -58,7 +58,7 @@
 	}
 	batch := f.from.EntriesAfter(after)
 	batch.LogAge = time.Duration(f.age.Load()) * time.Millisecond
-	if f.absent && after < f.from.Position() {
+	if f.truncated && after < f.from.Position() {
 		return Batch{Gone: true}, nil
 	}
 	return batch, nil
@@ -73,9 +73,9 @@
 }
 
 // deafSource hears of nothing while a read waits.
-type deafSource struct{ *fakeSource }
+type stalledSource struct{ *fakeSource }
 
-func (s *deafSource) Records(ctx context.Context, _ storelog.Position, wait time.Duration) (Batch, error) {
+func (s *stalledSource) Records(ctx context.Context, _ storelog.Position, wait time.Duration) (Batch, error) {
 	select {
 	case <-ctx.Done():
 		return Batch{}, ctx.Err()
@@ -97,7 +97,7 @@
 	It("doesn't believe its source's silence for long after a read that failed or found its records gone", func() {
 		now := time.Unix(1000, 0)
 		for _, trouble := range []func(*fakeSource){
-			func(f *fakeSource) { f.down.Store(true) }, func(f *fakeSource) { f.absent = true },
+			func(f *fakeSource) { f.down.Store(true) }, func(f *fakeSource) { f.truncated = true },
 		} {
 			r := upTo(1)
 			r.now = func() time.Time { return now }
@@ -110,7 +110,7 @@
 			trouble(source)
 			Expect(step()).To(Equal(28 * time.Second))
 			source.down.Store(false)
-			source.absent = false
+			source.truncated = false
 			Expect(step()).To(Equal(longpoll.UntrustedWait))
 			now = now.Add(time.Minute)
 			Expect(step()).To(Equal(28 * time.Second))
@@ -120,7 +120,7 @@
 	It("ends a read that is silent about what a peer knows", func() {
 		r := upTo(1)
 		r.SetPollTimeout(28 * time.Second)
-		deaf := &deafSource{&fakeSource{name: "log", from: upTo(1)}}
+		deaf := &stalledSource{&fakeSource{name: "log", from: upTo(1)}}
 		follow(r, deaf, &fakeSource{name: "peer", from: upTo(4)})
 		r.ObservePeerPosition(2)
 		Consistently(r.Position, 2*longpoll.PeerAheadGrace).Should(Equal(storelog.Position(1)), "it's known here too")
@@ -147,7 +147,7 @@
 	It("goes to the next source when one is down or stale, and back", func() {
 		first := &fakeSource{name: "first", from: upTo(4)}
 		second := &fakeSource{name: "second", from: upTo(9)}
-		first.age.Store((defaultWait + staleMargin).Milliseconds() + 1)
+		first.age.Store((defaultPollTimeout + staleMargin).Milliseconds() + 1)
 		r := New(time.Now)
 		follow(r, first, second)
 		Eventually(r.Position, "5s").Should(Equal(storelog.Position(9)))
@@ -159,7 +159,7 @@
 	})
 
 	It("heals from a snapshot when its history is gone", func() {
-		source := &fakeSource{name: "peer", from: upTo(9), absent: true}
+		source := &fakeSource{name: "peer", from: upTo(9), truncated: true}
 		r := upTo(2)
 		follow(r, source)
 		Eventually(r.Position, "5s").Should(Equal(storelog.Position(9)))
@@ -196,19 +196,19 @@
 	It("pauses only after a whole round, longer each time, and returns to the first", func() {
 		now := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 		turn := rotation{sources: 3}
-		Expect(turn.bad(now)).To(BeZero())
-		Expect(turn.bad(now)).To(BeZero())
-		first := turn.bad(now)
+		Expect(turn.recordFailure(now)).To(BeZero())
+		Expect(turn.recordFailure(now)).To(BeZero())
+		first := turn.recordFailure(now)
 		Expect(first).To(BeNumerically(">", 0))
-		Expect(turn.at).To(Equal(0))
-		turn.bad(now)
-		turn.bad(now)
-		Expect(turn.bad(now)).To(BeNumerically(">", first))
-		turn.bad(now)
-		turn.good(now.Add(preferAgain / 2))
-		Expect(turn.at).To(Equal(1))
-		turn.good(now.Add(preferAgain))
-		Expect(turn.at).To(Equal(0))
+		Expect(turn.current).To(Equal(0))
+		turn.recordFailure(now)
+		turn.recordFailure(now)
+		Expect(turn.recordFailure(now)).To(BeNumerically(">", first))
+		turn.recordFailure(now)
+		turn.recordSuccess(now.Add(preferFirstAfter / 2))
+		Expect(turn.current).To(Equal(1))
+		turn.recordSuccess(now.Add(preferFirstAfter))
+		Expect(turn.current).To(Equal(0))
 	})
 })
 
--- a/internal/replica/restore.go
+++ b/internal/replica/restore.go
@@ -17,7 +17,7 @@
 // again, or has come back from an older copy, where reads may hang.
 func (r *Replica) RestartRead() {
 	select {
-	case r.reread <- struct{}{}:
+	case r.restartRead <- struct{}{}:
 	default: // it's about to end
 	}
 }
@@ -38,25 +38,25 @@
 		return false, nil
 	}
 	logger = logger.WithFields(logrus.Fields{"era": end.Era(), "end": end.String(), "known": known.String()})
-	if at := restoredAt(entries); at >= 0 {
+	if i := findRestore(entries); i >= 0 {
 		logger.Info("the configuration log has come back from an older copy: another daemon has carried the state over")
-		return true, r.enter(entries[at].Position-1, entries[at:])
+		return true, r.enterEra(entries[i].Position-1, entries[i:])
 	}
 	first := end - storelog.Position(len(entries))
 	if known.Offset() < first.Offset()-1 {
 		return false, nil
 	}
 	if !known.HasRecord() {
-		return true, r.enter(first-1, entries)
+		return true, r.enterEra(first-1, entries)
 	}
-	same := r.comparedWith(entries, first)
-	logger.WithField("lost", known.Offset()-same).Warn("the configuration log has come back from an older copy: the state is carried over")
-	return true, r.restore(ctx, log, entries[same+1-first.Offset():], end)
+	common := r.lastCommonOffset(entries, first)
+	logger.WithField("lost", known.Offset()-common).Warn("the configuration log has come back from an older copy: the state is carried over")
+	return true, r.writeRestore(ctx, log, entries[common+1-first.Offset():], end)
 }
 
 // restoredAt returns the index of the first part of a state that was carried over into the
 // present era, or -1.
-func restoredAt(entries []config.LogEntry) int {
+func findRestore(entries []config.LogEntry) int {
 	for i, entry := range entries {
 		if entry.StartsRestore() {
 			return i
@@ -68,30 +68,30 @@
 // comparedWith compares what is known with the records that the log keeps in another era,
 // the first of which is at a position. It returns the last offset up to which both are the
 // same for certain.
-func (r *Replica) comparedWith(entries []config.LogEntry, first storelog.Position) int64 {
+func (r *Replica) lastCommonOffset(entries []config.LogEntry, first storelog.Position) int64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	last := r.state.Position.Offset()
 	if at := last - first.Offset(); at < 0 || at < int64(len(entries)) && entries[at].Digest() == r.state.Last {
 		return last
 	}
-	same := first.Offset() - 1
+	common := first.Offset() - 1
 	for i, entry := range r.recent {
 		offset := last - int64(len(r.recent)-1-i)
 		at := offset - first.Offset()
 		if at >= int64(len(entries)) || at >= 0 && entries[at].Digest() != entry.Digest() {
 			break
 		}
-		same = max(same, offset)
+		common = max(common, offset)
 	}
-	return same
+	return common
 }
 
 // enter goes on in another era, whose records up to a position are known, with those after it.
-func (r *Replica) enter(known storelog.Position, entries []config.LogEntry) error {
+func (r *Replica) enterEra(known storelog.Position, entries []config.LogEntry) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.confirm(0)
+	r.confirmEnd(0)
 	r.leaveEra()
 	r.state.EnterEra(known)
 	err := r.apply(entries)
@@ -102,9 +102,9 @@
 // leaveEra notes the changes of the present era, before the replica leaves it. The view keeps
 // them for a while, also where the replica can't write them again.
 func (r *Replica) leaveEra() {
-	r.heldUntil = r.now().Add(viewHold)
+	r.viewHeldUntil = r.now().Add(viewHold)
 	time.AfterFunc(viewHold, r.releaseView)
-	r.formerChanges = append(r.formerChanges, r.state.RecentChanges...)
+	r.priorEraChanges = append(r.priorEraChanges, r.state.RecentChanges...)
 	r.recent = nil
 }
 
@@ -112,14 +112,14 @@
 func (r *Replica) releaseView() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if len(r.formerChanges) > 0 && !r.now().Before(r.heldUntil) {
+	if len(r.priorEraChanges) > 0 && !r.now().Before(r.viewHeldUntil) {
 		r.publish()
 	}
 }
 
 // restore puts the state onto the log, with what has been added there since the copy was
 // taken, if the log still ends where it did.
-func (r *Replica) restore(ctx context.Context, log Log, added []config.LogEntry, end storelog.Position) error {
+func (r *Replica) writeRestore(ctx context.Context, log Log, newer []config.LogEntry, end storelog.Position) error {
 	r.mu.Lock()
 	known := r.state.Position
 	state, err := r.state.Clone()
@@ -127,8 +127,8 @@
 	if err != nil {
 		return err
 	}
-	state.EnterEra(end - storelog.Position(len(added)) - 1)
-	for _, entry := range added {
+	state.EnterEra(end - storelog.Position(len(newer)) - 1)
+	for _, entry := range newer {
 		if err := state.Apply(entry); err != nil {
 			return err
 		}
@@ -143,27 +143,27 @@
 
 // lost returns the changes of former eras that the state no longer has: another daemon knew
 // less when it carried its state over.
-func (r *Replica) lost() []config.RecentChange {
-	var lost []config.RecentChange
-	for _, change := range r.formerChanges {
-		if _, has := r.state.Results[change.Command]; !has {
-			lost = append(lost, change)
+func (r *Replica) missing() []config.RecentChange {
+	var missing []config.RecentChange
+	for _, change := range r.priorEraChanges {
+		if _, known := r.state.Results[change.Command]; !known {
+			missing = append(missing, change)
 		}
 	}
-	return lost
+	return missing
 }
 
 // reappendLost writes lost changes to the log, if that is the source. Each takes effect once
 // however many daemons write it.
-func (r *Replica) reappendLost(ctx context.Context, source Source) error {
+func (r *Replica) reappendMissing(ctx context.Context, source Source) error {
 	s, ok := source.(LogSource)
 	if !ok {
 		return nil
 	}
 	r.mu.Lock()
-	lost := r.lost()
+	missing := r.missing()
 	r.mu.Unlock()
-	for _, change := range lost {
+	for _, change := range missing {
 		if _, err := s.Log.Append(ctx, change.Data); err != nil {
 			return err
 		}
--- a/internal/replica/restore_property_test.go
+++ b/internal/replica/restore_property_test.go
@@ -29,7 +29,7 @@
 	entries []config.LogEntry
 	copied  int
 	// afterWhole is done once, as soon as the log has been read whole.
-	afterWhole func()
+	afterReadAll func()
 }
 
 func (l *eraLog) end() storelog.Position { return storelog.NewPosition(l.era, int64(len(l.entries))) }
@@ -61,15 +61,15 @@
 
 func (l *eraLog) ReadAll(context.Context) ([]config.LogEntry, storelog.Position, error) {
 	entries, end := slices.Clone(l.entries), l.end()
-	if l.afterWhole != nil {
-		meanwhile := l.afterWhole
-		l.afterWhole = nil
+	if l.afterReadAll != nil {
+		meanwhile := l.afterReadAll
+		l.afterReadAll = nil
 		meanwhile()
 	}
 	return entries, end, nil
 }
 
-func (l *eraLog) comeBack() {
+func (l *eraLog) restoreCopy() {
 	l.era++
 	l.entries = slices.Clone(l.entries[:min(l.copied, len(l.entries))])
 	for i := range l.entries {
@@ -78,7 +78,7 @@
 }
 
 // eraWorld has daemons that follow the log, each at its own pace.
-type eraWorld struct {
+type restoredLogModel struct {
 	log     *eraLog
 	daemons []*Replica
 	// known are the changes that were in force at each daemon since its start.
@@ -87,11 +87,11 @@
 	commands int
 }
 
-func (w *eraWorld) start(i int) {
+func (w *restoredLogModel) start(i int) {
 	w.daemons[i], w.known[i], w.position[i] = New(time.Now), map[string]bool{}, storelog.Unknown
 }
 
-func (w *eraWorld) change(t *rapid.T) {
+func (w *restoredLogModel) change(t *rapid.T) {
 	w.commands++
 	name := fmt.Sprint("c", w.commands)
 	data, err := config.NewChange(&config.Bundle{CommandID: name, Actor: "op", Changes: []config.Change{{
@@ -103,7 +103,7 @@
 	}
 	write := func() { _, _ = w.log.Append(context.Background(), data) } // it never fails
 	if rapid.Bool().Draw(t, "while the log is looked at") {
-		w.log.afterWhole = write
+		w.log.afterReadAll = write
 		return
 	}
 	for range rapid.IntRange(1, 2).Draw(t, "appends") {
@@ -112,7 +112,7 @@
 }
 
 // step lets a daemon read once, and checks that nothing that was in force there is lost.
-func (w *eraWorld) step(t *rapid.T, i int) {
+func (w *restoredLogModel) step(t *rapid.T, i int) {
 	logger := logrus.New()
 	logger.SetOutput(io.Discard)
 	r := w.daemons[i]
@@ -126,10 +126,10 @@
 	for _, customer := range r.View().List(config.KindCustomer) {
 		w.known[i][customer.Name] = true
 	}
-	w.mustKnow(t, i)
+	w.checkKnown(t, i)
 }
 
-func (w *eraWorld) mustKnow(t *rapid.T, i int) {
+func (w *restoredLogModel) checkKnown(t *rapid.T, i int) {
 	for name := range w.known[i] {
 		if w.daemons[i].View().Get(config.KindCustomer, name) == nil {
 			t.Fatalf("daemon %d no longer has change %s", i, name)
@@ -138,7 +138,7 @@
 }
 
 // onTheLog returns the changes that lie on the log, before or after a restored state.
-func (w *eraWorld) onTheLog() map[string]bool {
+func (w *restoredLogModel) changesOnLog() map[string]bool {
 	found := map[string]bool{}
 	for _, entry := range w.log.entries {
 		if record, err := config.DecodeRecord(entry.Data); err == nil && record.Bundle != nil {
@@ -149,10 +149,10 @@
 }
 
 // All daemons must have one state again, too, once they have read on.
-func TestNoChangeIsLostWhileADaemonLivesThatHadItInForce(t *testing.T) {
+func TestChangeSurvivesWhileAnyReplicaHasIt(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const daemons = 3
-		w := &eraWorld{
+		w := &restoredLogModel{
 			log: &eraLog{}, daemons: make([]*Replica, daemons), known: make([]map[string]bool, daemons), position: make([]storelog.Position, daemons),
 		}
 		for i := range daemons {
@@ -167,7 +167,7 @@
 			"read again":   read,
 			"read on":      read,
 			"copy":         func(*rapid.T) { w.log.copied = len(w.log.entries) },
-			"come back":    func(*rapid.T) { w.log.comeBack() },
+			"come back":    func(*rapid.T) { w.log.restoreCopy() },
 			"start":        func(t *rapid.T) { w.start(one(t)) },
 		})
 		for range 3 * daemons {
@@ -175,7 +175,7 @@
 				w.step(t, i)
 			}
 		}
-		w.known = append(w.known, w.onTheLog())
+		w.known = append(w.known, w.changesOnLog())
 		_, want := w.daemons[0].Hash()
 		for i, r := range w.daemons {
 			if at, hash := r.Hash(); hash != want {
--- a/internal/replica/tree.go
+++ b/internal/replica/tree.go
@@ -14,11 +14,11 @@
 
 // Parent returns the place of the entry that the entry at a place of its zone's
 // list reads from, and false for those that read the log.
-func Parent(place int) (int, bool) {
-	if place < LogReaders {
+func Parent(index int) (int, bool) {
+	if index < LogReaders {
 		return 0, false
 	}
-	return (place - LogReaders) / treeFanout, true
+	return (index - LogReaders) / treeFanout, true
 }
 
 // RotateByName returns the items beginning at a place that a name's hash chooses, so
--- a/internal/storelog/eras.go
+++ b/internal/storelog/eras.go
@@ -12,27 +12,27 @@
 // their offsets are given out again. The zero value has heard of none. Safe for concurrent
 // use; its lock is a leaf.
 type EraTracker struct {
-	mu     sync.Mutex
-	newest int64
-	heard  bool
-	onNew  []func(before, now int64)
+	mu        sync.Mutex
+	newest    int64
+	known     bool
+	onAdvance []func(before, now int64)
 }
 
 // OnAdvance calls f whenever the store turns out to have come back. Call it before the first Note.
-func (e *EraTracker) OnAdvance(f func(before, now int64)) { e.onNew = append(e.onNew, f) }
+func (e *EraTracker) OnAdvance(f func(before, now int64)) { e.onAdvance = append(e.onAdvance, f) }
 
 // Observe takes in an era that the store or another daemon has named.
 func (e *EraTracker) Observe(era int64) {
 	e.mu.Lock()
-	before, risen := e.newest, e.heard && era > e.newest
+	before, risen := e.newest, e.known && era > e.newest
 	if era >= e.newest {
-		e.newest, e.heard = era, true
+		e.newest, e.known = era, true
 	}
 	e.mu.Unlock()
 	if !risen {
 		return
 	}
-	for _, f := range e.onNew {
+	for _, f := range e.onAdvance {
 		f(before, era)
 	}
 }
