--- a/internal/membership/exchange.go
+++ b/internal/membership/exchange.go
@@ -13,14 +13,15 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// Exchange answers other daemons, and asks them. Its lock is a leaf.
+// Exchange answers the pulls of other daemons and pulls from them. It is safe for concurrent use;
+// no other lock is acquired while its lock is held.
 type Exchange struct {
 	members *Membership
 	self    Peer
 	seeds   []string
 	client  *http.Client
 	log     *logrus.Entry
-	// crashes, configuration and eras may be nil.
+	// crashes, configuration and eras are optional.
 	crashes       CrashExchange
 	configuration ConfigReplica
 	eras          *storelog.EraTracker
@@ -29,40 +30,41 @@
 	peers map[string]peerState
 }
 
-// CrashExchange is what daemons know of servers that ended under requests.
+// CrashExchange exchanges evidence of servers that crashed while they ran requests.
 type CrashExchange interface {
-	// Digest is what this daemon asks one at an address, Tell its answer to such a
-	// question, and Told takes in the answer.
+	// Digest returns a digest of what this daemon already has, to be sent to the peer at an address.
 	Digest(peer string) *peerrpc.CrashesKnown
-	Delta(known *peerrpc.CrashesKnown) *peerrpc.CrashNews
-	ApplyDelta(peer string, news *peerrpc.CrashNews)
+	// Delta returns the evidence that a daemon with the given digest lacks.
+	Delta(digest *peerrpc.CrashesKnown) *peerrpc.CrashNews
+	// ApplyDelta merges the evidence that the peer at an address returned.
+	ApplyDelta(peer string, delta *peerrpc.CrashNews)
 }
 
-// ConfigReplica is the product's own, which a daemon follows by itself.
+// ConfigReplica is this daemon's replica of the configuration log.
 type ConfigReplica interface {
-	// Next is the position after the last record that is known.
+	// Next returns the position after the last known record.
 	Next() storelog.Position
-	// ObservePeerPosition takes in the same of another daemon.
+	// ObservePeerPosition records the next position of a peer.
 	ObservePeerPosition(next storelog.Position)
 }
 
-// Peer is a daemon: its control address, empty when it takes no calls, and its
+// Peer is a daemon: its control address, which is empty if it accepts no calls, and its
 // availability zone.
 type Peer struct{ Control, Zone string }
 
-// heardPeer is what is known of a daemon besides its address.
+// peerState is the state that is kept for each peer address.
 type peerState struct {
-	// zone is empty until the daemon itself has been heard.
+	// zone is empty until the peer itself has been contacted.
 	zone string
-	// heard is when it was heard of last.
+	// lastSeen is when the peer was last contacted, or first listed by another peer.
 	lastSeen time.Time
-	// avoidUntil is until when it isn't asked as the zone's reader, because it failed.
+	// avoidUntil is the time until which the peer isn't used as the zone's reader after a failure.
 	avoidUntil time.Time
 }
 
 type positions struct{ operators, servers storelog.Position }
 
-// NewExchange returns the exchange of a daemon.
+// NewExchange returns the Exchange of the daemon self.
 func NewExchange(members *Membership, self Peer, seeds []string, client *http.Client, log *logrus.Entry) *Exchange {
 	return &Exchange{
 		members: members, self: self, seeds: seeds, client: client, log: log,
@@ -70,35 +72,35 @@
 	}
 }
 
-// SetCrashes makes the exchange carry news of servers that ended under requests. Call it
-// before the first exchange.
+// SetCrashes adds evidence of crashes to the exchange. It must be called before the first call or
+// pull.
 func (e *Exchange) SetCrashes(crashes CrashExchange) { e.crashes = crashes }
 
-// SetConfiguration makes the exchange tell how far the product's own configuration is known.
-// Call it before the first exchange.
+// SetConfiguration adds the position of the configuration log to the exchange. It must be called
+// before the first call or pull.
 func (e *Exchange) SetConfiguration(c ConfigReplica) { e.configuration = c }
 
-// SetEras makes the exchange note the store's eras that other daemons have heard of. Call it
-// before the first exchange.
+// SetEras sets the tracker of the eras that peers report. It must be called before the first call
+// or pull.
 func (e *Exchange) SetEras(eras *storelog.EraTracker) { e.eras = eras }
 
-// noteEra takes in the era, if it's told, of a position up to which another daemon knows a
-// topic.
+// observeEra records the era of a peer's position, unless the peer reports no era or knows no
+// record.
 func (e *Exchange) observeEra(era *int64, next int64) {
 	if e.eras != nil && era != nil && next > storelog.Unknown.Offset() {
 		e.eras.Observe(*era)
 	}
 }
 
-// SetSeeds changes the daemons that are asked first.
+// SetSeeds replaces the configured peer addresses.
 func (e *Exchange) SetSeeds(seeds []string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.seeds = seeds
 }
 
-// Exchange implements peerrpc.Membership. The asking side tells nothing but how
-// far it knows the topics: replies go to who asks, nothing is pushed.
+// Exchange implements peerrpc.Membership. The request holds only the positions that the caller
+// knows: data flows to the caller alone, nothing is pushed.
 func (e *Exchange) Exchange(_ context.Context, r *peerrpc.ExchangeRequest) (*peerrpc.ExchangeReply, error) {
 	if r.GetControl() != "" {
 		e.recordContact(Peer{Control: r.GetControl(), Zone: r.GetZone()})
@@ -127,7 +129,7 @@
 	return reply, nil
 }
 
-// ageMs is how long ago a time was, in milliseconds rounded up, or 0 for the zero time.
+// ageMs returns the age of a time in milliseconds, rounded up, or 0 for the zero time.
 func ageMs(now, at time.Time) int64 {
 	if at.IsZero() {
 		return 0
@@ -135,11 +137,11 @@
 	return now.Sub(at).Milliseconds() + 1
 }
 
-// Pull takes in what a peer knows and this daemon lacks.
+// Pull merges what the peer knows and this daemon lacks.
 func (e *Exchange) Pull(ctx context.Context, peer string) error { return e.pull(ctx, peer, false) }
 
-// PullServers takes in the registrations only: a large configuration would fill
-// the link of a small VM.
+// PullServers is like Pull but leaves the configuration out, since a large one would saturate the
+// link of a small VM.
 func (e *Exchange) PullServers(ctx context.Context, peer string) error {
 	return e.pull(ctx, peer, true)
 }
@@ -174,7 +176,7 @@
 	return nil
 }
 
-// changes returns what a daemon lacks that asks.
+// changesSince returns the records that the caller lacks.
 func (e *Exchange) changesSince(r *peerrpc.ExchangeRequest) (operators, servers *peerrpc.Topic) {
 	e.members.mu.Lock()
 	defer e.members.mu.Unlock()
@@ -185,8 +187,8 @@
 	return operators, encode(e.members.servers, peerPosition(r.GetServersNext(), r.ServersEra, e.members.servers))
 }
 
-// positionOf returns up to where a daemon knows a topic. One that tells no era is taken to
-// know that of the topic here.
+// peerPosition returns the position up to which a peer knows a topic. A peer that reports no era is
+// assumed to be in this daemon's era.
 func peerPosition(next int64, era *int64, t *topic) storelog.Position {
 	if era == nil && next > storelog.Unknown.Offset() {
 		return storelog.NewPosition(t.next.Era(), next)
@@ -197,8 +199,9 @@
 	return storelog.NewPosition(*era, next)
 }
 
-// addNewer adds the configuration in force to what is told of the operators' topic, if it
-// is newer than the asking daemon's: that may have been read from an older copy of the store.
+// addNewerConfig adds the current configuration to the records of the operators' topic if it is
+// newer than the caller's. Positions can't show that, since the caller may have read an older copy
+// of the store.
 func (e *Exchange) addNewerConfig(topic *peerrpc.Topic, version int64) {
 	config := e.members.config.Load()
 	key := e.members.decoder.ConfigKey()
@@ -223,7 +226,7 @@
 	return encoded
 }
 
-// takeIn takes in a reply to a question that was asked at a time.
+// mergeReply merges the reply to a request that was sent at requestedAt.
 func (e *Exchange) mergeReply(reply *peerrpc.ExchangeReply, requestedAt time.Time, source string) {
 	operators, servers := reply.GetOperators(), reply.GetServers()
 	for _, topic := range []*peerrpc.Topic{operators, servers} {
@@ -261,7 +264,7 @@
 	e.members.mergeServers(update)
 }
 
-// nextOf returns up to where a topic is told.
+// topicNext returns the position after the records of an encoded topic.
 func topicNext(t *peerrpc.Topic) storelog.Position {
 	return storelog.NewPosition(t.GetEra(), t.GetNext())
 }
@@ -274,10 +277,10 @@
 	return records
 }
 
-// peerForget is how long a peer that isn't heard of is kept.
+// peerExpiry is how long a peer is kept after it was last seen.
 const peerExpiry = 60 * time.Second
 
-// heardOf notes that a daemon itself was heard.
+// recordContact records a call from or to a peer.
 func (e *Exchange) recordContact(peer Peer) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -286,7 +289,7 @@
 	e.peers[peer.Control] = known
 }
 
-// toldOf notes that another daemon knows of a daemon.
+// addPeer adds a daemon that a peer listed.
 func (e *Exchange) addPeer(peer string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -295,8 +298,8 @@
 	}
 }
 
-// LastContacts returns the control addresses of daemons that have been heard themselves lately, and
-// when they were heard last.
+// LastContacts maps the control addresses of the daemons that were contacted directly to the time
+// of the last contact.
 func (e *Exchange) LastContacts() map[string]time.Time {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -309,7 +312,8 @@
 	return contacts
 }
 
-// Peers returns the control addresses of known daemons, the seeds included.
+// Peers returns the control addresses of all known daemons, including the seeds. It removes expired
+// ones.
 func (e *Exchange) Peers() []string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/membership/follower.go
+++ b/internal/membership/follower.go
@@ -14,22 +14,22 @@
 	"github.com/sirupsen/logrus"
 )
 
-// ErrGone says that the store no longer keeps the records that were asked for.
-var ErrGone = errors.New("records no longer kept")
+// ErrGone is returned for a position whose records the store no longer has.
+var ErrGone = errors.New("records are no longer in the store")
 
-// Topic is one of the two topics that are followed.
+// Topic is a topic of the store.
 type Topic int
 
-// The topics.
+// The topics that are followed.
 const (
 	TopicOperators Topic = iota
 	TopicServers
 )
 
-// topicCount is how many topics there are.
+// topicCount is the number of topics.
 const topicCount = 2
 
-// String names the topic in logs.
+// String returns the name of the topic for logs.
 func (t Topic) String() string {
 	if t == TopicOperators {
 		return "operators"
@@ -41,58 +41,57 @@
 
 // Store reads the platform's store.
 type Store interface {
-	// Read returns the records of a topic from a position on and the position after
-	// them, waiting for the first. It returns ErrGone when they are no longer kept, or the
-	// store's era isn't the position's.
+	// Read returns the records of a topic from a position on, and the position after them. It waits
+	// for the first record. It returns ErrGone if the records are no longer kept or the store is in
+	// another era than the position.
 	Read(ctx context.Context, topic Topic, from storelog.Position, wait time.Duration) ([]Record, storelog.Position, error)
-	// Newest returns the newest record of each key and the position to read on from.
+	// Newest returns the newest record of each key and the position from which to continue.
 	Newest(ctx context.Context, topic Topic) ([]Record, storelog.Position, error)
 }
 
-// ZoneReader is the one daemon of an availability zone that reads the registrations
-// from the store; the others ask it.
+// ZoneReader is the daemon of an availability zone that reads the registrations from the store on
+// behalf of the zone's other daemons.
 type ZoneReader interface {
-	// Refresh asks it. It tells whether the registrations are now known as of at most
-	// maxAge ago; it's always false at the reader itself.
+	// Refresh pulls the registrations from the zone's reader. It reports whether they are now at
+	// most maxAge old. It always returns false at the reader itself.
 	Refresh(ctx context.Context, maxAge time.Duration) bool
-	// ReadsForZone tells whether this daemon is the reader and has others to read for.
+	// ReadsForZone reports whether this daemon is the reader and others pull from it.
 	ReadsForZone() bool
-	// ReadsDirectly tells whether this daemon is the reader, or has nobody who reads for it.
+	// ReadsDirectly reports whether this daemon reads the store itself: it is the reader, or the
+	// only daemon of its zone.
 	ReadsDirectly() bool
 }
 
 const (
-	// configWait is how long one read waits for a new configuration. Each read is
-	// paid for, so it is long (the store allows 30 s); a broken connection is noticed by
-	// keep-alive probes, and what such a read misses is told by the zone's reader.
+	// maxConfigPollTimeout is how long one read waits for a new configuration. Each read is billed,
+	// so it is close to the store's limit of 30 s. Keep-alive probes detect a broken connection,
+	// and pulls from the zone's reader cover what a read misses.
 	maxConfigPollTimeout = 28 * time.Second
-	// serversPart is the time between reads of registrations, as a part of the time
-	// within which requests must stop going to a leaving server; serversPace replaces
-	// it when that isn't set.
+	// intervalFraction is the time between reads of registrations as a fraction of the time within
+	// which requests must stop going to a leaving server. defaultInterval applies if that time
+	// isn't set.
 	intervalFraction = 0.55
 	defaultInterval  = 900 * time.Millisecond
-	// readerPart is the time between the zone reader's own reads, as a part of pace, and
-	// relayedPart the greatest age, as a part of pace, of registrations that others take
-	// from it. What the reader has is always younger than that while it's well; a daemon
-	// that got it shortly before the reader's next read asks again right after that.
+	// readerIntervalFraction is the interval of the zone's reader, and relayedAgeFraction the
+	// maximum age of registrations pulled from it, as fractions of the interval. The reader's
+	// registrations are always younger than that while it is healthy.
 	readerIntervalFraction = 0.8
 	relayedAgeFraction     = 0.9
-	// callTimeout bounds one call beyond its wait. The store answers in some
-	// milliseconds; its slow spells are some fifty times that.
+	// callTimeout limits a call to the store beyond its wait.
 	callTimeout = 900 * time.Millisecond
-	// retryFirst and retryMost bound the pause after a failed call.
+	// minRetryDelay and maxRetryDelay limit the delay after a failed call.
 	minRetryDelay = 100 * time.Millisecond
 	maxRetryDelay = 600 * time.Millisecond
 )
 
-// errReread ends a long read that was woken.
-var errReadRestarted = errors.New("read anew")
+// errReadRestarted is returned by a long poll that was interrupted to start again.
+var errReadRestarted = errors.New("read restarted")
 
-// errBehind says that the store ends before what is known, in the same era: it's asked
-// again after a pause.
-var errStoreBehind = errors.New("the store ends before what is known, without another era")
+// errStoreBehind is returned if the store ends before the known position in the same era. The read
+// is retried after a delay.
+var errStoreBehind = errors.New("the store ends before the known position in the same era")
 
-// fromStore names the store as a source of records in logs.
+// sourceStore is the name of the store in logs.
 const sourceStore = "store"
 
 // Follower keeps a Membership up to date from the store.
@@ -102,30 +101,30 @@
 	zone     ZoneReader
 	log      *logrus.Entry
 	interval time.Duration
-	// failures are the reads of registrations that have failed in a row.
+	// failures is the number of consecutive failed reads of registrations.
 	failures int
-	// healthy is whether the last call to the store succeeded.
+	// healthy is set if the last call to the store succeeded.
 	healthy atomic.Bool
-	// refreshes wakes who waits for the next read of the registrations.
+	// refresh triggers the next read of registrations at once.
 	refresh chan struct{}
-	// rereads wakes a long read whose connection may be dead.
+	// restartRead interrupts the long poll for a configuration.
 	restartRead chan struct{}
-	// lost gets a value when the store can no longer be reached.
+	// unreachable receives a value when the store becomes unreachable.
 	unreachable chan struct{}
-	// onReached is called when the store is reached again.
+	// onReachable is called when the store becomes reachable.
 	onReachable func()
-	// silence judges the reads that wait for a configuration, reading is the position that
-	// the present one waits for.
+	// readTrust tracks whether an empty long poll can be trusted. readPosition is the position from
+	// which the current one reads.
 	readTrust    longpoll.Trust
 	readPosition atomic.Int64
-	// gone is the position of each topic that the store didn't have last. Each topic is
-	// followed by one goroutine.
+	// lastGone is the last position of each topic that the store didn't have. Only the topic's own
+	// goroutine accesses it.
 	lastGone [topicCount]storelog.Position
 }
 
-// NewFollower returns a follower. zone may be nil: then it reads everything itself.
-// stopRouting is how soon requests must stop going to a server that is known to
-// leave, or 0.
+// NewFollower returns a Follower. If zone is nil, it always reads from the store. stopRouting is
+// the time within which requests must stop going to a leaving server, or 0 for the default
+// interval.
 func NewFollower(members *Membership, store Store, zone ZoneReader, stopRouting time.Duration, log *logrus.Entry) *Follower {
 	interval := time.Duration(intervalFraction * float64(stopRouting))
 	if interval <= 0 {
@@ -139,13 +138,14 @@
 	return f
 }
 
-// Healthy tells whether the store answered last time.
+// Healthy reports whether the last call to the store succeeded.
 func (f *Follower) Healthy() bool { return f.healthy.Load() }
 
-// OnReachable makes a call when the store is reached again. Call it before the follower runs.
+// OnReachable sets a callback that runs when the store becomes reachable. It must be called before
+// the follower runs.
 func (f *Follower) OnReachable(call func()) { f.onReachable = call }
 
-// Unreachable gets a value when the store can no longer be reached.
+// Unreachable returns a channel that receives a value when the store becomes unreachable.
 func (f *Follower) Unreachable() <-chan struct{} { return f.unreachable }
 
 // FollowConfig follows the operators' topic until the context ends.
@@ -204,8 +204,8 @@
 	return err
 }
 
-// FollowServers follows the registrations until the context ends. It also finds
-// out whether the store can be reached.
+// FollowServers follows the registrations until the context ends. It also detects whether the store
+// is reachable.
 func (f *Follower) FollowServers(ctx context.Context) {
 	for ctx.Err() == nil {
 		timer := time.NewTimer(f.refreshServers(ctx))
@@ -218,16 +218,15 @@
 	}
 }
 
-// RestartReads makes it read everything anew at once: the connection of a long read may have died
-// while this VM was suspended.
+// RestartReads restarts all reads at once: the connection of a long poll may have died while this
+// VM was suspended.
 func (f *Follower) RestartReads() {
 	signal(f.refresh)
 	signal(f.restartRead)
 }
 
-// refreshServers gets the registrations from the zone's reader or from the store. It
-// returns how long to wait before the next time: whichever way they came, they are
-// refreshed when they are pace old.
+// refreshServers gets the registrations from the zone's reader or from the store. It returns the
+// delay until the next refresh, which is due when the registrations are one interval old.
 func (f *Follower) refreshServers(ctx context.Context) time.Duration {
 	if f.zone != nil && f.failures == 0 && f.zone.Refresh(ctx, time.Duration(relayedAgeFraction*float64(f.interval))) {
 		return f.members.registrationsAsOf().Add(f.interval).Sub(f.members.now())
@@ -264,13 +263,12 @@
 	return err
 }
 
-// noteGone counts reads from a position that the store doesn't have, with a line for the
-// first from there.
+// recordGone counts reads from a position that the store doesn't have. Repeated ones aren't logged.
 func (f *Follower) recordGone(topic Topic, from storelog.Position) {
 	readsGone.Inc()
 	if f.lastGone[topic] != from {
 		f.lastGone[topic] = from
-		f.log.WithFields(logrus.Fields{"topic": topic.String(), "position": from.String()}).Info("the store doesn't have this position: the newest record of each key is read")
+		f.log.WithFields(logrus.Fields{"topic": topic.String(), "position": from.String()}).Info("position no longer in the store: reading the newest record of each key")
 	}
 }
 
@@ -292,7 +290,7 @@
 	return nil
 }
 
-// note logs when the store is lost or regained.
+// recordStoreResult tracks whether the store is reachable and logs each transition.
 func (f *Follower) recordStoreResult(err error) {
 	wasHealthy := f.healthy.Swap(err == nil)
 	if err == nil {
@@ -302,17 +300,17 @@
 	case err != nil:
 		f.members.markStoreUnreachable()
 		if wasHealthy {
-			f.log.WithError(err).Warn("store lost")
+			f.log.WithError(err).Warn("store unreachable")
 			signal(f.unreachable)
 		}
 	case !wasHealthy:
-		f.log.Info("store reached")
+		f.log.Info("store reachable")
 		signal(f.restartRead)
 		f.onReachable()
 	}
 }
 
-// wake puts a value into a channel that has room for one.
+// signal sends without blocking to a channel with a buffer of one.
 func signal(c chan struct{}) {
 	select {
 	case c <- struct{}{}:
@@ -320,8 +318,8 @@
 	}
 }
 
-// pause grows with the failures in a row; the random part keeps daemons that
-// failed together apart.
+// retryDelay returns a delay that grows with the number of consecutive failures, with jitter so
+// that daemons don't retry in step.
 func retryDelay(failures int) time.Duration {
 	d := min(minRetryDelay<<min(failures-1, 4), maxRetryDelay)
 	return d/2 + rand.N(d/2+1)
--- a/internal/membership/longpoll.go
+++ b/internal/membership/longpoll.go
@@ -8,23 +8,23 @@
 	"github.com/crowbridge/crowbridge/internal/storelog"
 )
 
-// readerConfigWait replaces configWait at the daemon that reads for its zone: a read may
-// be deaf without anything that shows it. In three zones it costs 0.5 calls a second
-// more, a tenth of what 8 entries and 16 agents made on a quiet day (286 to 315).
+// readerConfigPollTimeout replaces maxConfigPollTimeout at the zone's reader. A long poll can miss
+// records without an error; a shorter one bounds the delay for the zone.
 const readerConfigPollTimeout = 5 * time.Second
 
-// errMissed ends a read that is silent about what a peer knows.
-var errPeerAhead = errors.New("another daemon knows a newer configuration")
+// errPeerAhead is the reason for distrusting a read that misses what a peer already has.
+var errPeerAhead = errors.New("a peer has a newer configuration")
 
-// doubt makes reads for configurations short for a while.
+// revokeReadTrust shortens the long polls for configurations for a while.
 func (f *Follower) revokeReadTrust(cause error) {
 	if f.readTrust.Revoke(f.members.now()) {
-		f.log.WithError(cause).WithField("confirmed_ms", f.members.ConfigAge().Milliseconds()).Info("the store's silence about configurations isn't believed for a while")
+		f.log.WithError(cause).WithField("confirmed_ms", f.members.ConfigAge().Milliseconds()).Info("empty reads of configurations not trusted for a while")
 	}
 }
 
-// configPatience is how long the next read waits for a configuration. The others of a zone
-// hear from its reader, at each exchange, what a deaf read of their own misses.
+// configPollTimeout returns how long the next read waits for a configuration. Only a daemon that
+// reads directly needs the short timeout: the others pull from the zone's reader what their own
+// read misses.
 func (f *Follower) configPollTimeout() time.Duration {
 	if f.zone != nil && !f.zone.ReadsDirectly() {
 		return maxConfigPollTimeout
@@ -32,7 +32,8 @@
 	return f.readTrust.MaxWait(readerConfigPollTimeout, f.members.now())
 }
 
-// peerKnewMore ends the present read, unless it hears by itself of what a peer has just told.
+// handlePeerAhead restarts the current read unless it catches up with the peer's position within a
+// grace period.
 func (f *Follower) handlePeerAhead(next storelog.Position) {
 	time.AfterFunc(longpoll.PeerAheadGrace, func() {
 		if storelog.Position(f.readPosition.Load()) < next {
--- a/internal/membership/longpoll_test.go
+++ b/internal/membership/longpoll_test.go
@@ -12,14 +12,14 @@
 	. "github.com/onsi/gomega"
 )
 
-// fakeZone is the zone of a daemon that reads for it, or doesn't.
+// fakeZoneReader reports whether its daemon reads for the zone.
 type fakeZoneReader struct{ reads bool }
 
 func (z *fakeZoneReader) Refresh(context.Context, time.Duration) bool { return false }
 func (z *fakeZoneReader) ReadsForZone() bool                          { return z.reads }
 func (z *fakeZoneReader) ReadsDirectly() bool                         { return z.reads }
 
-var _ = Describe("the store's silence about configurations", func() {
+var _ = Describe("long polls for configurations", func() {
 	var b *fixture
 	var zone *fakeZoneReader
 	BeforeEach(func() {
@@ -27,27 +27,27 @@
 		b.follower.zone = zone
 		b.store.append(TopicOperators, "config", "1")
 		Expect(b.read()).To(Succeed())
-		Expect(b.follower.restartRead).To(Receive(), "the store has been reached")
+		Expect(b.follower.restartRead).To(Receive(), "the store became reachable")
 	})
 
-	It("is believed for some seconds by who reads for a zone, and for as long as the store allows by the others", func() {
+	It("wait some seconds at the zone's reader, and up to the store's limit at the other daemons", func() {
 		Expect(b.follower.configPollTimeout()).To(Equal(readerConfigPollTimeout))
 		zone.reads = false
 		Expect(b.follower.configPollTimeout()).To(Equal(maxConfigPollTimeout))
 	})
 
-	It("isn't believed for a while after the history has gone", func() {
+	It("are shortened for a while after the records are no longer in the store", func() {
 		b.store.first[TopicOperators] = 1
 		b.store.append(TopicOperators, "config", "2")
 		b.members.operators.next = 0
 		Expect(b.read()).To(Succeed())
 		Expect(b.follower.configPollTimeout()).To(Equal(longpoll.UntrustedWait))
-		Expect(b.logs.AllEntries()).To(ContainElement(HaveField("Message", ContainSubstring("isn't believed"))))
+		Expect(b.logs.AllEntries()).To(ContainElement(HaveField("Message", ContainSubstring("not trusted"))))
 		b.now = b.now.Add(time.Minute)
 		Expect(b.follower.configPollTimeout()).To(Equal(readerConfigPollTimeout))
 	})
 
-	It("is broken by another daemon that knows more, unless the own read hears of it too", func() {
+	It("are restarted when a peer is ahead, unless the read catches up by itself", func() {
 		b.follower.readPosition.Store(1)
 		b.follower.handlePeerAhead(1)
 		Consistently(b.follower.restartRead, 2*longpoll.PeerAheadGrace).ShouldNot(Receive())
@@ -56,7 +56,7 @@
 		Expect(b.follower.configPollTimeout()).To(Equal(longpoll.UntrustedWait))
 	})
 
-	It("is as old as the read that was answered last, or as a peer's that knows as much", func() {
+	It("confirm the configuration as of the last successful read, here or at a peer that knows as much", func() {
 		b.now = b.now.Add(4 * time.Second)
 		Expect(b.members.ConfigAge()).To(Equal(4 * time.Second))
 		other := newFixture()
@@ -72,7 +72,7 @@
 		Expect(b.members.ConfigAge()).To(BeNumerically("~", time.Second, 2*time.Millisecond))
 	})
 
-	It("isn't taken for a failure by a read that is woken", func() {
+	It("aren't shortened by a restart", func() {
 		blocked := &blockingStore{fakeStore: b.store}
 		b.follower.store = blocked
 		signal(b.follower.restartRead)
@@ -81,7 +81,7 @@
 	})
 })
 
-// blockingStore answers no read before its context ends.
+// blockingStore blocks reads until their context ends.
 type blockingStore struct{ *fakeStore }
 
 func (s *blockingStore) Read(ctx context.Context, _ Topic, _ storelog.Position, _ time.Duration) ([]Record, storelog.Position, error) {
--- a/internal/membership/malformed_test.go
+++ b/internal/membership/malformed_test.go
@@ -12,8 +12,8 @@
 	"pgregory.net/rapid"
 )
 
-var _ = Describe("entries of other writers", func() {
-	It("uses no server that an entry of another writer stands for, and says so once", func() {
+var _ = Describe("malformed registrations", func() {
+	It("are dropped and logged once", func() {
 		b := newFixture()
 		b.store.append(TopicServers, "a", "1.1.1.1:1")
 		b.store.append(TopicServers, "b", "1.1.1.2:1")
@@ -35,9 +35,9 @@
 		Expect(b.ids()).To(ConsistOf("a", "b"))
 	})
 
-	// Good entries with any mix of bad ones between them give exactly the good ones, read
-	// from the store in any portions or told by a neighbour.
-	It("uses exactly the servers that good entries name", func() {
+	// The result is the same whether the records are read from the store in any batches or pulled
+	// from a peer.
+	It("don't affect valid registrations", func() {
 		rapid.Check(GinkgoT(), func(t *rapid.T) {
 			here, there := newFixture(), newFixture()
 			want := map[string]bool{}
@@ -68,9 +68,9 @@
 				t.Fatal(err)
 			}
 			log := logrus.NewEntry(logrus.New())
-			told := NewExchange(here.members, Peer{}, nil, nil, log)
-			_, servers := told.changesSince(&peerrpc.ExchangeRequest{OperatorsNext: -1, ServersNext: -1})
-			NewExchange(there.members, Peer{}, nil, nil, log).mergeReply(&peerrpc.ExchangeReply{Servers: servers}, there.now, "a neighbour")
+			source := NewExchange(here.members, Peer{}, nil, nil, log)
+			_, servers := source.changesSince(&peerrpc.ExchangeRequest{OperatorsNext: -1, ServersNext: -1})
+			NewExchange(there.members, Peer{}, nil, nil, log).mergeReply(&peerrpc.ExchangeReply{Servers: servers}, there.now, "peer")
 			for _, b := range []*fixture{here, there} {
 				got := map[string]bool{}
 				for _, id := range b.ids() {
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -11,20 +11,21 @@
 	"github.com/sirupsen/logrus"
 )
 
-// Decoder turns the platform's records into the project's types.
+// Decoder decodes the platform's records.
 type Decoder interface {
 	DecodeConfig(data []byte) (*fleet.Config, error)
 	DecodeServer(id string, data []byte) (*fleet.Server, error)
-	// ConfigKey is the key of the configuration among the operators' records.
+	// ConfigKey returns the key of the configuration record in the operators' topic.
 	ConfigKey() string
 }
 
-// outageGrace is how long after the store's return a server whose registration
-// lapsed meanwhile is kept: living ones register again within two seconds.
+// outageGrace is how long a server stays in use after the store is reachable again although its
+// registration lapsed during the outage. Running servers register again within 2 s.
 const outageGrace = 2300 * time.Millisecond
 
-// Membership is the daemon's copy. Invariant: the configuration's version never
-// falls. Its lock is a leaf. Safe for concurrent use.
+// Membership is a daemon's copy of the configuration and the registrations. The version of the
+// configuration never decreases. It is safe for concurrent use. OnServers callbacks run while its
+// lock is held; they must not call back.
 type Membership struct {
 	decoder Decoder
 	now     func() time.Time
@@ -34,35 +35,35 @@
 	operators *topic
 	servers   *topic
 	decoded   map[string]*fleet.Server
-	// lapsed are servers whose registration went away around an outage of the
-	// store, and when they are to be taken as gone.
+	// lapsed maps servers whose registration lapsed around an outage of the store to the time of
+	// their removal.
 	lapsed map[string]time.Time
-	// refused are the entries that name no server to use.
+	// invalid holds the IDs whose registration can't be used.
 	invalid map[string]bool
-	// away is set from a failed call to the store until the first read that succeeds
-	// has been taken in. peerNews is set when another daemon knew newer registrations
-	// meanwhile: then the store was away for this daemon only, and nothing lapsed.
+	// storeUnreachable is set from a failed call to the store until the next read has been merged.
+	// peerAhead is set if a peer had newer registrations meanwhile: the outage was then local, and
+	// deletions are genuine.
 	storeUnreachable, peerAhead bool
 	onServers                   []func(*fleet.Servers)
-	// inForce is the record of the configuration in force.
+	// currentConfigRecord is the encoded form of the current configuration.
 	currentConfigRecord []byte
-	// departed are servers that went away lately, held those of them that are listed again
-	// by an older copy of the store.
+	// departed holds recently removed servers. suppressed holds the records of those that an older
+	// copy of the store lists again.
 	departed   map[string]departure
 	suppressed map[string]Record
-	// onPeerConfig is called with the position up to which another daemon knew the
-	// operators' topic, when that is more than was known here.
+	// onPeerAhead is called with the position up to which a peer knows the operators' topic if that
+	// is ahead of this copy.
 	onPeerAhead func(next storelog.Position)
-	// serversAsOf is a time at which nothing newer had been registered.
-	serversAsOf time.Time
-	// operatorsAsOf is the same for the operators' topic, as far as reads can be believed.
+	// serversAsOf and operatorsAsOf are the times as of which this copy of the topic is known to be
+	// complete.
+	serversAsOf   time.Time
 	operatorsAsOf time.Time
 
 	config         atomic.Pointer[fleet.Config]
 	currentServers atomic.Pointer[fleet.Servers]
 }
 
-// New returns an empty copy.
+// New returns an empty Membership.
 func New(decoder Decoder, now func() time.Time, log *logrus.Entry) *Membership {
 	return &Membership{
 		decoder: decoder, now: now, log: log,
@@ -73,24 +74,24 @@
 	}
 }
 
-// Config returns the configuration in force, or nil while none is known.
+// Config returns the current configuration, or nil if none is known yet.
 func (m *Membership) Config() *fleet.Config { return m.config.Load() }
 
-// Servers returns the registered servers, or nil while they aren't known.
+// Servers returns the registered servers, or nil if they aren't known yet.
 func (m *Membership) Servers() *fleet.Servers { return m.currentServers.Load() }
 
-// OnServers calls f at each change of the servers. Call it before the copy is
-// filled.
+// OnServers registers a callback for changes of the servers. It must be called before the first
+// record is merged.
 func (m *Membership) OnServers(f func(*fleet.Servers)) { m.onServers = append(m.onServers, f) }
 
-// positions returns up to where both topics are known.
+// positions returns the next position of both topics.
 func (m *Membership) positions() positions {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return positions{m.operators.next, m.servers.next}
 }
 
-// version returns that of the configuration in force, or 0.
+// version returns the version of the current configuration, or 0.
 func (m *Membership) version() int64 {
 	if config := m.config.Load(); config != nil {
 		return config.Version
@@ -98,9 +99,9 @@
 	return 0
 }
 
-// takeOperators takes in operators' records. whole says that they are the
-// newest of every key. A newer configuration counts wherever it lies in the topic: versions
-// order configurations also after the store has come back from an older copy.
+// mergeOperators merges records of the operators' topic. If full is set, records is a snapshot of
+// the newest record of every key. A newer configuration is applied whatever its position: versions
+// order configurations even after the store was restored from an older copy.
 func (m *Membership) mergeOperators(records []Record, next storelog.Position, full bool, source string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -123,8 +124,8 @@
 	m.keepCurrentConfigRecord()
 }
 
-// propagateInForce puts the configuration in force in the place of an older one, for others to
-// be told.
+// keepCurrentConfigRecord replaces an older configuration in the topic by the current one, so that
+// peers receive the current one.
 func (m *Membership) keepCurrentConfigRecord() {
 	key := m.decoder.ConfigKey()
 	r, listed := m.operators.records[key]
@@ -134,8 +135,7 @@
 	}
 }
 
-// confirmOperators notes a time at which nothing newer than what is known had been written
-// to the operators' topic.
+// confirmOperators records that the operators' topic is known completely as of the given time.
 func (m *Membership) confirmOperators(asOf time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -144,10 +144,10 @@
 	}
 }
 
-// neverConfirmed is the age of a configuration of which nothing has been heard.
+// neverConfirmed is the age reported for a configuration that was never confirmed.
 const neverConfirmed = 365 * 24 * time.Hour
 
-// ConfigAge is how long ago it was last confirmed that there is no newer configuration.
+// ConfigAge returns the time since the configuration was last confirmed to be the newest.
 func (m *Membership) ConfigAge() time.Duration {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -157,41 +157,41 @@
 	return m.now().Sub(m.operatorsAsOf)
 }
 
-// confirmed returns a time at which the operators' topic was as it is known; zero when none is.
+// configAsOf returns the time as of which the operators' topic is known completely, or the zero
+// time.
 func (m *Membership) configAsOf() time.Time {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.operatorsAsOf
 }
 
-// readable leaves out records that can't be read, with a line for each: records are read
-// once, but for the newest of each key.
+// dropUnreadable removes the records that can't be decoded and logs each of them.
 func (m *Membership) dropUnreadable(records []Record, source string) []Record {
 	return slices.DeleteFunc(records, func(r Record) bool {
 		if r.Unreadable == "" {
 			return false
 		}
 		m.log.WithFields(logrus.Fields{"key": r.Key, "position": r.Position.String(), "source": source, "cause": r.Unreadable}).
-			Warn("record left out: it can't be read")
+			Warn("unreadable record skipped")
 		return true
 	})
 }
 
-// adopt puts a configuration in force if it is newer and well-formed.
+// applyConfig makes a configuration current if it is valid and newer than the current one.
 func (m *Membership) applyConfig(r Record, source string) {
 	log := m.log.WithFields(logrus.Fields{"position": r.Position.String(), "source": source})
 	if len(r.Value) == 0 {
-		log.Warn("configuration deleted: the last one stays in force")
+		log.Warn("configuration record deleted: keeping the current configuration")
 		return
 	}
 	config, err := m.decoder.DecodeConfig(r.Value)
 	if err != nil {
-		log.WithError(err).Error("configuration refused: the last one stays in force")
+		log.WithError(err).Error("invalid configuration refused: keeping the current configuration")
 		return
 	}
 	if old := m.config.Load(); old != nil && old.Version >= config.Version {
 		if old.Version > config.Version {
-			log.WithFields(logrus.Fields{"version": config.Version, "in_force": old.Version}).Info("older configuration left out")
+			log.WithFields(logrus.Fields{"version": config.Version, "in_force": old.Version}).Info("older configuration ignored")
 		}
 		return
 	}
@@ -200,21 +200,21 @@
 	log.WithField("version", config.Version).Info("configuration in force")
 }
 
-// registrations are records of servers to be taken in.
+// serverUpdate is a set of registration records to merge.
 type serverUpdate struct {
 	records []Record
-	// next is the position up to which they are known; whole says that they are the
-	// newest of every key.
+	// next is the position after the records. If full is set, they are a snapshot of the newest
+	// record of every key.
 	next storelog.Position
 	full bool
-	// asOf is a time at which nothing newer had been registered; zero when unknown.
+	// asOf is the time as of which the records are complete, or zero if unknown.
 	asOf   time.Time
 	source string
-	// lapses are the deleted ones that the source keeps, and for how long still.
+	// lapses maps deleted registrations that the source still keeps in use to the remaining time.
 	lapses map[string]time.Duration
 }
 
-// takeServers takes in registrations.
+// mergeServers merges registration records and publishes the servers if they changed.
 func (m *Membership) mergeServers(r serverUpdate) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -243,16 +243,16 @@
 	}
 }
 
-// asOf returns a time at which nothing newer than the known registrations had been
-// registered; zero while none are known.
+// registrationsAsOf returns the time as of which the registrations are known completely, or the
+// zero time.
 func (m *Membership) registrationsAsOf() time.Time {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.serversAsOf
 }
 
-// applyServer takes one changed registration over. It returns whether anything
-// but a heartbeat happened.
+// applyServer applies the newest record of a server. It reports whether the record changed the set
+// of servers, as opposed to a heartbeat.
 func (m *Membership) applyServer(id string, from serverUpdate) bool {
 	r := m.servers.records[id]
 	log := m.log.WithFields(logrus.Fields{"server": id, "position": r.Position.String(), "source": from.source})
@@ -281,13 +281,13 @@
 	return true
 }
 
-// refuse takes an entry that names no server to use: it says so once, and what was
-// registered there before no longer counts.
+// rejectServer drops a server whose registration can't be used. The rejection is logged once per
+// server.
 func (m *Membership) rejectServer(id string, old *fleet.Server, err error, log *logrus.Entry) bool {
 	m.servers.markChanged(id)
 	if !m.invalid[id] {
 		m.invalid[id] = true
-		log.WithError(err).Error("registration refused: it names no server to use")
+		log.WithError(err).Error("invalid registration refused")
 	}
 	delete(m.decoded, id)
 	delete(m.lapsed, id)
@@ -308,8 +308,9 @@
 	return sameRank && x == y
 }
 
-// remove takes a server as gone, or keeps it for a while if it may only have lapsed:
-// for as long as the source of the news does, or because the store was away.
+// removeServer removes a server whose registration was deleted. If the registration may only have
+// lapsed, because the source keeps it or the store was unreachable, the server stays for a grace
+// period. It reports whether the server was removed.
 func (m *Membership) removeServer(id string, old *fleet.Server, grace time.Duration, log *logrus.Entry) bool {
 	if old == nil {
 		return false
@@ -322,22 +323,23 @@
 	}
 	if grace > 0 {
 		m.lapsed[id] = m.now().Add(grace)
-		log.Info("registration lapsed while the store was away: kept for now")
+		log.Info("registration lapsed during a store outage: keeping the server for a grace period")
 		return false
 	}
 	m.markDeparted(id, old)
-	log.Info("server gone")
+	log.Info("server removed")
 	return true
 }
 
-// expire takes lapsed servers as gone whose time is over.
+// expireLapsed removes lapsed servers whose grace period is over. It reports whether the set of
+// servers changed.
 func (m *Membership) expireLapsed() bool {
 	changed := false
 	for id, until := range m.lapsed {
 		if m.now().After(until) {
 			delete(m.lapsed, id)
 			m.markDeparted(id, m.decoded[id])
-			m.log.WithField("server", id).Info("server gone: not registered again after the store's outage")
+			m.log.WithField("server", id).Info("server removed: not registered again after the store outage")
 			changed = true
 		}
 	}
@@ -356,7 +358,7 @@
 	}
 }
 
-// storeFailed notes that the store couldn't be reached.
+// markStoreUnreachable records a failed call to the store.
 func (m *Membership) markStoreUnreachable() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -365,21 +367,21 @@
 	}
 }
 
-// storeReached notes that a read has been taken in.
+// markStoreReachable records that a read of the store has been merged.
 func (m *Membership) markStoreReachable() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.storeUnreachable = false
 }
 
-// heardFromPeer notes that another daemon knew newer registrations.
+// markPeerAhead records that a peer had newer registrations than this daemon.
 func (m *Membership) markPeerAhead() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.peerAhead = true
 }
 
-// keptLapses returns the deleted registrations that are kept, and for how long still.
+// pendingLapses returns the deleted registrations that are still in use and their remaining time.
 func (m *Membership) pendingLapses() map[string]time.Duration {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/membership/membership_suite_test.go
+++ b/internal/membership/membership_suite_test.go
@@ -25,8 +25,7 @@
 	RunSpecs(t, "membership")
 }
 
-// plainDecoder reads "VERSION" as a configuration and "ADDRESS [leaving]" as a
-// server.
+// plainDecoder decodes "VERSION" as a configuration and "ADDRESS [leaving]" as a server.
 type plainDecoder struct{}
 
 func (plainDecoder) ConfigKey() string { return "config" }
@@ -47,10 +46,10 @@
 	return &fleet.Server{ID: id, Service: "s", Address: address, Leaving: rest == "leaving"}, nil
 }
 
-// fakeStore keeps one list of records a topic.
+// fakeStore is an in-memory store.
 type fakeStore struct {
 	records map[Topic][]Record
-	// first is the oldest offset that Read returns.
+	// first is the oldest position of each topic that Read accepts.
 	first map[Topic]storelog.Position
 	err   error
 	reads int
@@ -139,7 +138,7 @@
 }
 
 var _ = Describe("following the store", func() {
-	It("knows nothing until it has read both topics", func() {
+	It("has no configuration and no servers before the first read", func() {
 		b := newFixture()
 		Expect(b.members.Config()).To(BeNil())
 		Expect(b.members.Servers()).To(BeNil())
@@ -149,7 +148,7 @@
 		Expect(b.members.Servers()).NotTo(BeNil())
 	})
 
-	It("puts newer configurations in force and never an older one", func() {
+	It("applies newer configurations and ignores older ones", func() {
 		b := newFixture()
 		b.store.append(TopicOperators, "config", "4")
 		Expect(b.read()).To(Succeed())
@@ -159,7 +158,7 @@
 		Expect(b.members.Config().Version).To(Equal(int64(9)))
 	})
 
-	It("keeps the last configuration when one doesn't decode, and says so", func() {
+	It("keeps the current configuration and logs an error when a new one is invalid", func() {
 		b := newFixture()
 		b.store.append(TopicOperators, "config", "4")
 		Expect(b.read()).To(Succeed())
@@ -170,7 +169,7 @@
 		Expect(b.logs.LastEntry().Message).To(ContainSubstring("refused"))
 	})
 
-	It("sees servers come, leave and go", func() {
+	It("tracks servers that register, leave and are removed", func() {
 		b := newFixture()
 		b.store.append(TopicServers, "a", "1.1.1.1:1")
 		Expect(b.read()).To(Succeed())
@@ -182,7 +181,7 @@
 		Expect(b.ids()).To(BeEmpty())
 	})
 
-	It("reads the newest of each key when the history is gone, and drops who is missing", func() {
+	It("reads a snapshot when its position is gone, and removes servers that are missing from it", func() {
 		b := newFixture()
 		b.store.append(TopicServers, "a", "1.1.1.1:1")
 		b.store.append(TopicServers, "b", "1.1.1.2:1")
@@ -194,8 +193,8 @@
 		Expect(b.ids()).To(ConsistOf("b", "c"))
 	})
 
-	Describe("around an outage", func() {
-		It("keeps a lapsed server until it has had the time to register again", func() {
+	Describe("around a store outage", func() {
+		It("keeps a lapsed server for a grace period", func() {
 			b := newFixture()
 			b.store.append(TopicServers, "a", "1.1.1.1:1")
 			b.store.append(TopicServers, "b", "1.1.1.2:1")
@@ -213,7 +212,7 @@
 			Expect(b.ids()).To(ConsistOf("a"))
 		})
 
-		It("takes a server that goes after the first read as gone at once", func() {
+		It("removes a server at once that is deleted after the first read", func() {
 			b := newFixture()
 			b.store.append(TopicServers, "a", "1.1.1.1:1")
 			Expect(b.read()).To(Succeed())
@@ -226,7 +225,7 @@
 			Expect(b.ids()).To(BeEmpty())
 		})
 
-		It("takes a server as gone at once when the store was away for this daemon only", func() {
+		It("removes a server at once when only this daemon lost the store", func() {
 			b, other := newFixture(), newFixture()
 			b.store.append(TopicServers, "a", "1.1.1.1:1")
 			Expect(b.read()).To(Succeed())
@@ -243,7 +242,7 @@
 			Expect(b.ids()).To(BeEmpty())
 		})
 
-		It("takes a server that was leaving as gone at once", func() {
+		It("removes a leaving server at once", func() {
 			b := newFixture()
 			b.store.append(TopicServers, "a", "1.1.1.1:1 leaving")
 			Expect(b.read()).To(Succeed())
@@ -255,7 +254,7 @@
 			Expect(b.ids()).To(BeEmpty())
 		})
 
-		It("logs the loss and the return once each", func() {
+		It("logs each transition once", func() {
 			b := newFixture()
 			Expect(b.read()).To(Succeed())
 			b.store.err = errors.New("down")
@@ -268,12 +267,12 @@
 			for _, entry := range b.logs.AllEntries() {
 				messages = append(messages, entry.Message)
 			}
-			Expect(messages).To(Equal([]string{"store reached", "store lost", "store reached"}))
+			Expect(messages).To(Equal([]string{"store reachable", "store unreachable", "store reachable"}))
 		})
 	})
 })
 
-// countingTransport notes the size of the largest request.
+// countingTransport records the size of the largest request.
 type countingTransport struct{ largest int64 }
 
 func (t *countingTransport) RoundTrip(r *http.Request) (*http.Response, error) {
@@ -281,8 +280,8 @@
 	return http.DefaultTransport.RoundTrip(r)
 }
 
-var _ = Describe("daemons among themselves", func() {
-	// serve puts an exchange on a loopback port and returns its address.
+var _ = Describe("pulls between daemons", func() {
+	// serve serves an exchange on a loopback port and returns its address.
 	serve := func(b *fixture) (string, *Exchange) {
 		e := NewExchange(b.members, Peer{}, nil, http.DefaultClient, logrus.NewEntry(logrus.New()))
 		server := httptest.NewServer(peerrpc.NewMembershipServer(e))
@@ -290,50 +289,50 @@
 		return strings.TrimPrefix(server.URL, "http://"), e
 	}
 
-	It("pass on what the asking side lacks", func() {
-		knowing, asking := newFixture(), newFixture()
-		knowing.store.append(TopicOperators, "config", "5")
-		knowing.store.append(TopicServers, "a", "1.1.1.1:1")
-		Expect(knowing.read()).To(Succeed())
-		address, _ := serve(knowing)
-		e := NewExchange(asking.members, Peer{}, []string{address}, http.DefaultClient, asking.follower.log)
+	It("transfer what the caller lacks", func() {
+		source, caller := newFixture(), newFixture()
+		source.store.append(TopicOperators, "config", "5")
+		source.store.append(TopicServers, "a", "1.1.1.1:1")
+		Expect(source.read()).To(Succeed())
+		address, _ := serve(source)
+		e := NewExchange(caller.members, Peer{}, []string{address}, http.DefaultClient, caller.follower.log)
 		Expect(e.Pull(context.Background(), address)).To(Succeed())
-		Expect(asking.members.Config().Version).To(Equal(int64(5)))
-		Expect(asking.ids()).To(ConsistOf("a"))
+		Expect(caller.members.Config().Version).To(Equal(int64(5)))
+		Expect(caller.ids()).To(ConsistOf("a"))
 	})
 
-	It("send nothing to the asked side, however much it lacks: it asks itself", func() {
-		asked, asking := newFixture(), newFixture()
-		asking.store.append(TopicOperators, "config", "5")
-		Expect(asking.read()).To(Succeed())
-		address, server := serve(asked)
+	It("send nothing to the peer, which pulls by itself", func() {
+		peer, caller := newFixture(), newFixture()
+		caller.store.append(TopicOperators, "config", "5")
+		Expect(caller.read()).To(Succeed())
+		address, server := serve(peer)
 		sent := &countingTransport{}
-		e := NewExchange(asking.members, Peer{Control: "10.0.0.9:1"}, []string{address}, &http.Client{Transport: sent}, asking.follower.log)
+		e := NewExchange(caller.members, Peer{Control: "10.0.0.9:1"}, []string{address}, &http.Client{Transport: sent}, caller.follower.log)
 		for range 3 {
 			Expect(e.Pull(context.Background(), address)).To(Succeed())
 		}
 		Expect(sent.largest).To(BeNumerically("<", 40))
-		Expect(asked.members.Config()).To(BeNil())
-		knowing, _ := serve(asking)
-		Expect(server.Pull(context.Background(), knowing)).To(Succeed())
-		Expect(asked.members.Config().Version).To(Equal(int64(5)))
+		Expect(peer.members.Config()).To(BeNil())
+		source, _ := serve(caller)
+		Expect(server.Pull(context.Background(), source)).To(Succeed())
+		Expect(peer.members.Config().Version).To(Equal(int64(5)))
 	})
 
-	It("leave the configuration out when only servers are asked for", func() {
-		knowing, asking := newFixture(), newFixture()
-		knowing.store.append(TopicOperators, "config", "5")
-		knowing.store.append(TopicServers, "a", "1.1.1.1:1")
-		Expect(knowing.read()).To(Succeed())
-		address, _ := serve(knowing)
-		e := NewExchange(asking.members, Peer{}, []string{address}, http.DefaultClient, asking.follower.log)
+	It("leave the configuration out if only servers are requested", func() {
+		source, caller := newFixture(), newFixture()
+		source.store.append(TopicOperators, "config", "5")
+		source.store.append(TopicServers, "a", "1.1.1.1:1")
+		Expect(source.read()).To(Succeed())
+		address, _ := serve(source)
+		e := NewExchange(caller.members, Peer{}, []string{address}, http.DefaultClient, caller.follower.log)
 		Expect(e.PullServers(context.Background(), address)).To(Succeed())
-		Expect(asking.members.Config()).To(BeNil())
-		Expect(asking.ids()).To(ConsistOf("a"))
+		Expect(caller.members.Config()).To(BeNil())
+		Expect(caller.ids()).To(ConsistOf("a"))
 		Expect(e.Pull(context.Background(), address)).To(Succeed())
-		Expect(asking.members.Config().Version).To(Equal(int64(5)))
+		Expect(caller.members.Config().Version).To(Equal(int64(5)))
 	})
 
-	It("never bring an older configuration back", func() {
+	It("never replace a configuration by an older one", func() {
 		old, newer := newFixture(), newFixture()
 		old.store.append(TopicOperators, "config", "5")
 		Expect(old.read()).To(Succeed())
@@ -346,10 +345,10 @@
 		Expect(newer.members.Config().Version).To(Equal(int64(8)))
 	})
 
-	It("learn of each other", func() {
-		asked, asking := newFixture(), newFixture()
-		address, server := serve(asked)
-		e := NewExchange(asking.members, Peer{Control: "10.0.0.9:1"}, []string{address}, http.DefaultClient, asking.follower.log)
+	It("make the caller known to the peer", func() {
+		peer, caller := newFixture(), newFixture()
+		address, server := serve(peer)
+		e := NewExchange(caller.members, Peer{Control: "10.0.0.9:1"}, []string{address}, http.DefaultClient, caller.follower.log)
 		Expect(e.Pull(context.Background(), address)).To(Succeed())
 		Expect(server.Peers()).To(ConsistOf("10.0.0.9:1"))
 	})
--- a/internal/membership/reader.go
+++ b/internal/membership/reader.go
@@ -6,19 +6,17 @@
 )
 
 const (
-	// readerTimeout bounds a question to a zone's reader: a call within a zone takes
-	// less than a millisecond, some tens on a slow VM. What is left of the time within
-	// which requests must stop going to a leaving server is for a read of the store.
+	// readerTimeout limits a pull from the zone's reader. It leaves time for a read of the store
+	// within the time in which requests must stop going to a leaving server.
 	readerTimeout = 200 * time.Millisecond
-	// readerPause is how long a reader that failed or was stale isn't asked again: a few
-	// reads of the store, and as long as most VMs take to come back.
+	// readerRetryDelay is how long a reader that failed or had stale registrations isn't used
+	// again.
 	readerRetryDelay = 5 * time.Second
 )
 
-// reader returns the daemon that reads the registrations for all of its zone: the
-// one with the first address. It is empty when that is this daemon; shared tells
-// whether others of the zone may ask it then. Daemons may disagree for a while,
-// which costs reads of the store and no more.
+// reader returns the daemon that reads the registrations for its zone: the one with the lowest
+// address. peer is empty if that is this daemon; shared then reports whether the zone has other
+// daemons. Daemons may disagree for a while, which only costs additional reads of the store.
 func (e *Exchange) reader() (peer string, shared bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -70,6 +68,6 @@
 	known.avoidUntil = e.members.now().Add(readerRetryDelay)
 	e.peers[reader] = known
 	e.log.WithError(err).WithField("peer", reader).WithField("age_ms", ageMs(e.members.now(), asOf)).
-		Info("zone reader failed or is stale: registrations are read from the store")
+		Info("zone reader failed or stale: reading registrations from the store")
 	return false
 }
--- a/internal/membership/reader_test.go
+++ b/internal/membership/reader_test.go
@@ -15,7 +15,7 @@
 	"github.com/sirupsen/logrus"
 )
 
-// served is a daemon whose exchange others can ask.
+// servedDaemon is a daemon whose exchange is served over HTTP.
 type servedDaemon struct {
 	*fixture
 	exchange *Exchange
@@ -23,7 +23,7 @@
 	calls    atomic.Int64
 }
 
-// serveIn puts a daemon of a zone on a loopback port. Its follower has the zone.
+// serveInZone serves a daemon of a zone on a loopback port. Its follower uses the zone's reader.
 func serveInZone(zone string, store *fakeStore) *servedDaemon {
 	s := &servedDaemon{fixture: newFixture()}
 	s.store = store
@@ -43,7 +43,7 @@
 	return s
 }
 
-// zoneOf returns two daemons of a zone that know each other, the reader first.
+// pairInZone returns two daemons of a zone that know each other, the reader first.
 func pairInZone(store *fakeStore) (reader, other *servedDaemon) {
 	reader, other = serveInZone("z", store), serveInZone("z", store)
 	if other.address < reader.address {
@@ -53,8 +53,8 @@
 	return reader, other
 }
 
-var _ = Describe("the registrations of a reader whose VM was suspended", func() {
-	It("are told with their true age, so that nobody takes them for fresh", func() {
+var _ = Describe("registrations of a reader whose VM was suspended", func() {
+	It("are sent with an age that includes the suspension", func() {
 		b := newFixture()
 		boot := time.Hour
 		clk, err := clock.NewFrom(func() time.Time { return b.now }, func() (time.Duration, error) { return boot, nil })
@@ -71,23 +71,23 @@
 	})
 })
 
-var _ = Describe("the registrations of a zone", func() {
-	// ownPace is the time between a reader's own reads.
-	const ownPace = time.Duration(readerIntervalFraction * float64(defaultInterval))
+var _ = Describe("registrations of a zone", func() {
+	// readerInterval is the interval of the zone's reader.
+	const readerInterval = time.Duration(readerIntervalFraction * float64(defaultInterval))
 	ctx := context.Background()
 
-	It("are read by one daemon, and the others ask it", func() {
+	It("are read by one daemon, from which the others pull", func() {
 		store := newFakeStore()
 		store.append(TopicServers, "a", "1.1.1.1:1")
 		reader, other := pairInZone(store)
-		Expect(reader.follower.refreshServers(ctx)).To(Equal(ownPace))
+		Expect(reader.follower.refreshServers(ctx)).To(Equal(readerInterval))
 		reads := store.reads
 		Expect(other.follower.refreshServers(ctx)).To(BeNumerically("~", defaultInterval, time.Millisecond))
 		Expect(store.reads).To(Equal(reads))
 		Expect(other.ids()).To(ConsistOf("a"))
 	})
 
-	It("are as new at the others as if they had read them: the reader's age counts", func() {
+	It("are refreshed according to their age at the reader", func() {
 		store := newFakeStore()
 		reader, other := pairInZone(store)
 		reader.follower.refreshServers(ctx)
@@ -95,48 +95,48 @@
 		Expect(other.follower.refreshServers(ctx)).To(BeNumerically("~", defaultInterval-300*time.Millisecond, 5*time.Millisecond))
 	})
 
-	It("are read from the store while the reader's are too old", func() {
+	It("are read from the store if the reader's are stale", func() {
 		store := newFakeStore()
 		reader, other := pairInZone(store)
 		reader.follower.refreshServers(ctx)
 		reader.now = reader.now.Add(defaultInterval)
 		reads := store.reads
-		Expect(other.follower.refreshServers(ctx)).To(Equal(ownPace), "it's the zone's reader meanwhile")
+		Expect(other.follower.refreshServers(ctx)).To(Equal(readerInterval), "it replaces the zone's reader")
 		Expect(store.reads).To(Equal(reads + 1))
-		asked := reader.calls.Load()
+		calls := reader.calls.Load()
 		other.follower.refreshServers(ctx)
-		Expect(reader.calls.Load()).To(Equal(asked), "a reader that was stale isn't asked again at once")
+		Expect(reader.calls.Load()).To(Equal(calls), "a stale reader isn't used again at once")
 		other.now = other.now.Add(readerRetryDelay + time.Millisecond)
 		other.follower.refreshServers(ctx)
-		Expect(reader.calls.Load()).To(Equal(asked + 1))
+		Expect(reader.calls.Load()).To(Equal(calls + 1))
 	})
 
-	It("are read from the store when the reader doesn't tell how old its are", func() {
+	It("are read from the store if the reader doesn't report their age", func() {
 		store := newFakeStore()
 		reader, other := pairInZone(store)
 		reader.follower.refreshServers(ctx)
 		reader.members.serversAsOf = time.Time{}
 		reads := store.reads
-		Expect(other.follower.refreshServers(ctx)).To(Equal(ownPace))
+		Expect(other.follower.refreshServers(ctx)).To(Equal(readerInterval))
 		Expect(store.reads).To(Equal(reads + 1))
 	})
 
-	It("aren't taken as fresh from a daemon of a release that tells no age", func() {
-		asking := serveInZone("z", newFakeStore())
-		asking.exchange.mergeReply(&peerrpc.ExchangeReply{Servers: &peerrpc.Topic{}}, asking.now, "earlier release")
-		Expect(asking.members.registrationsAsOf().IsZero()).To(BeTrue())
+	It("have an unknown age if the peer's release doesn't report it", func() {
+		caller := serveInZone("z", newFakeStore())
+		caller.exchange.mergeReply(&peerrpc.ExchangeReply{Servers: &peerrpc.Topic{}}, caller.now, "earlier release")
+		Expect(caller.members.registrationsAsOf().IsZero()).To(BeTrue())
 	})
 
-	It("are read from the store when the reader can't be reached", func() {
+	It("are read from the store if the reader is unreachable", func() {
 		store := newFakeStore()
 		store.append(TopicServers, "a", "1.1.1.1:1")
 		other := serveInZone("z", store)
 		other.exchange.recordContact(Peer{Control: "0.0.0.0:1", Zone: "z"})
-		Expect(other.follower.refreshServers(ctx)).To(Equal(ownPace))
+		Expect(other.follower.refreshServers(ctx)).To(Equal(readerInterval))
 		Expect(other.ids()).To(ConsistOf("a"))
 	})
 
-	It("are read by each zone for itself", func() {
+	It("are read separately by each zone", func() {
 		store := newFakeStore()
 		here, there := serveInZone("z1", store), serveInZone("z2", store)
 		Expect(here.exchange.Pull(ctx, there.address)).To(Succeed())
@@ -149,7 +149,7 @@
 		}
 	})
 
-	It("aren't sent again for a heartbeat", func() {
+	It("aren't sent again after a heartbeat", func() {
 		store := newFakeStore()
 		store.append(TopicServers, "a", "1.1.1.1:1")
 		store.append(TopicServers, "b", "1.1.1.2:1")
@@ -168,8 +168,9 @@
 		Expect(other.members.positions().servers.Offset()).To(Equal(changes.GetNext()))
 	})
 
-	Describe("that lapsed in an outage", func() {
-		// lapsed returns a zone whose reader alone has seen an outage, in which a lapsed.
+	Describe("that lapsed during a store outage", func() {
+		// lapsed returns the daemons of a zone after an outage that only the reader observed and in
+		// which the registration of a lapsed.
 		lapsed := func() (reader, other *servedDaemon) {
 			store := newFakeStore()
 			store.append(TopicServers, "a", "1.1.1.1:1")
@@ -185,7 +186,7 @@
 			return reader, other
 		}
 
-		It("are kept by those who ask for as long as by the reader", func() {
+		It("are kept for as long as at the reader", func() {
 			reader, other := lapsed()
 			Expect(other.ids()).To(ConsistOf("a"))
 			for _, daemon := range []*servedDaemon{reader, other} {
@@ -195,7 +196,7 @@
 			}
 		})
 
-		It("stay when they are registered again as before", func() {
+		It("stay if they are registered again", func() {
 			reader, other := lapsed()
 			reader.store.append(TopicServers, "a", "1.1.1.1:1")
 			for _, daemon := range []*servedDaemon{reader, other} {
--- a/internal/membership/reconcile.go
+++ b/internal/membership/reconcile.go
@@ -6,18 +6,18 @@
 	"github.com/crowbridge/crowbridge/internal/fleet"
 )
 
-// departureHold is how long a server that went away isn't used again because an older copy
-// of the store lists it: the registry drops servers that are silent for three heartbeats.
+// departureHold is how long a removed server isn't used again if only an older copy of the store
+// lists it. The registry drops servers after three missed heartbeats.
 const departureHold = 5 * time.Second
 
-// departure is the end of a server's registration.
+// departure records the removal of one incarnation of a server.
 type departure struct {
-	// start is the key of the server's start that went away.
+	// key is the Server.Key of the incarnation.
 	key string
 	at  time.Time
 }
 
-// markGone takes a server as gone.
+// markDeparted removes a server and records its departure.
 func (m *Membership) markDeparted(id string, server *fleet.Server) {
 	delete(m.decoded, id)
 	if server != nil {
@@ -30,9 +30,9 @@
 	}
 }
 
-// reconcile amends registrations that come from an older copy of the store by what is known
-// to be newer: who leaves goes on leaving, who has gone stays away for a while, and who is
-// missing has the time to register again.
+// reconcileOlderCopy corrects registrations from an older copy of the store by newer knowledge:
+// leaving servers stay leaving, removed ones stay removed for a while, and missing ones get time to
+// register again.
 func (m *Membership) reconcileOlderCopy(r *serverUpdate) {
 	if r.lapses == nil {
 		r.lapses = map[string]time.Duration{}
@@ -49,30 +49,32 @@
 	}
 }
 
-// newerValue returns the value of a record of an older copy, or what is known to be newer.
+// newerValue returns the value of a record from an older copy of the store, or a newer one that is
+// already known.
 func (m *Membership) newerValue(r Record) []byte {
 	if len(r.Value) == 0 {
 		return nil
 	}
 	listed, err := m.decoder.DecodeServer(r.Key, r.Value)
 	if err != nil {
-		return r.Value // is refused, and said so, where it's taken in
+		return r.Value // applyServer rejects and logs it
 	}
 	log := m.log.WithField("server", r.Key).WithField("position", r.Position.String())
 	known := m.servers.records[r.Key].Value
 	if old := m.decoded[r.Key]; old != nil && len(known) > 0 && isLater(old, listed) {
-		log.Info("the store's copy is older than what is known of the server: that stays")
+		log.Info("registration is from an older copy of the store: keeping the newer one")
 		return known
 	}
 	if d, gone := m.departed[r.Key]; gone && d.key == listed.Key() && m.now().Sub(d.at) <= departureHold {
-		log.Info("the store's copy lists a server that has gone: not used for now")
+		log.Info("older copy of the store lists a removed server: not used for now")
 		m.suppressed[r.Key] = r
 		return nil
 	}
 	return r.Value
 }
 
-// later tells whether a registration of one start of a server was written after another.
+// isLater reports whether registration a of a server was written after b. It is false if both
+// belong to different incarnations or their order is unknown.
 func isLater(a, b *fleet.Server) bool {
 	if a.Key() != b.Key() {
 		return false
@@ -89,8 +91,8 @@
 	return !a.Rank.Open && b.Rank.Open
 }
 
-// releaseHeld uses servers again that the registry still lists though they were taken as
-// gone. It returns whether there are any.
+// releaseSuppressed uses a suppressed server again if the registry still lists it after
+// departureHold. It reports whether the set of servers changed.
 func (m *Membership) releaseSuppressed() bool {
 	released := false
 	for id, r := range m.suppressed {
--- a/internal/membership/restoredstore_property_test.go
+++ b/internal/membership/restoredstore_property_test.go
@@ -12,14 +12,14 @@
 	"pgregory.net/rapid"
 )
 
-// The seed is fixed, so that CI gives the same verdict each time; -rapid.seed=0 draws one.
+// The seed is fixed for reproducible CI runs; -rapid.seed=0 draws a random one.
 func init() {
 	if err := flag.Set("rapid.seed", "1"); err != nil {
 		panic(err)
 	}
 }
 
-// stage is how far a server's life has gone. It never goes back.
+// stage is the stage of a server's life cycle. It never decreases.
 type stage int
 
 const (
@@ -29,16 +29,17 @@
 	gone
 )
 
-// eraWorld has daemons that read a store and ask each other; the store comes back from copies.
+// restoredStoreModel has daemons that read a store and pull from each other while the store is
+// restored from older copies of itself.
 type restoredStoreModel struct {
 	store   *fakeStore
 	daemons []*fixture
 	version int64
-	// truth is the stage of each server's life, believed what each daemon knew of it last.
+	// actual is the stage of each server, observed the last one that each daemon has seen.
 	actual   map[string]stage
 	observed []map[string]stage
 	versions []int64
-	// copied is how many records of each topic the newest copy has.
+	// copied is the number of records of each topic in the latest copy.
 	copied [topicCount]int
 }
 
@@ -53,13 +54,13 @@
 	w.store.append(TopicOperators, "config", strconv.FormatInt(w.version, 10))
 }
 
-// register writes what is true of a server.
+// register writes the registration of a server at its stage.
 func (w *restoredStoreModel) register(id string) {
 	address := "1.1.1.1:" + id[1:]
 	w.store.append(TopicServers, id, map[stage]string{up: address, leaving: address + " leaving"}[w.actual[id]])
 }
 
-// live takes a server on in its life.
+// advanceServer moves a server to its next stage.
 func (w *restoredStoreModel) advanceServer(t *rapid.T) {
 	id := fmt.Sprint("s", rapid.IntRange(1, 4).Draw(t, "server"))
 	if w.actual[id] < gone {
@@ -68,7 +69,7 @@
 	}
 }
 
-// read lets a daemon read both topics once; a read that was woken begins again.
+// read makes a daemon read both topics once, and again after a restarted read.
 func (w *restoredStoreModel) read(t *rapid.T, i int) {
 	err := w.daemons[i].read()
 	for errors.Is(err, errReadRestarted) {
@@ -79,7 +80,7 @@
 	}
 }
 
-// look notes what a daemon believes, and checks that it hasn't gone back.
+// checkMonotonic checks that no configuration and no server has reverted at a daemon.
 func (w *restoredStoreModel) checkMonotonic(t *rapid.T, i int) {
 	for _, topic := range []*topic{w.daemons[i].members.operators, w.daemons[i].members.servers} {
 		for key, r := range topic.records {
@@ -91,7 +92,7 @@
 	config, servers := w.daemons[i].members.Config(), w.daemons[i].members.Servers()
 	if config != nil {
 		if config.Version < w.versions[i] {
-			t.Fatalf("daemon %d went from configuration %d back to %d", i, w.versions[i], config.Version)
+			t.Fatalf("daemon %d reverted from configuration %d to %d", i, w.versions[i], config.Version)
 		}
 		w.versions[i] = config.Version
 	}
@@ -109,13 +110,14 @@
 			now = gone
 		}
 		if now != unknown && now < w.observed[i][id] {
-			t.Fatalf("daemon %d believed server %s at stage %d, now at %d", i, id, w.observed[i][id], now)
+			t.Fatalf("daemon %d reverted server %s from stage %d to %d", i, id, w.observed[i][id], now)
 		}
 		w.observed[i][id] = max(now, w.observed[i][id])
 	}
 }
 
-// settle writes again what was lost, as operators and servers do, and lets all read it.
+// checkConvergence writes lost records again, as operators and servers do, and checks that all
+// daemons converge on them.
 func (w *restoredStoreModel) checkConvergence(t *rapid.T) {
 	w.store.append(TopicOperators, "config", strconv.FormatInt(w.version, 10))
 	for id := range w.actual {
@@ -154,25 +156,25 @@
 			w.start(i)
 		}
 		w.writeConfig()
-		one := func(t *rapid.T) int { return rapid.IntRange(0, daemons-1).Draw(t, "daemon") }
+		drawDaemon := func(t *rapid.T) int { return rapid.IntRange(0, daemons-1).Draw(t, "daemon") }
 		read := func(t *rapid.T) {
-			i := one(t)
+			i := drawDaemon(t)
 			w.read(t, i)
 			w.checkMonotonic(t, i)
 		}
-		ask := func(t *rapid.T) {
-			i := one(t)
+		pull := func(t *rapid.T) {
+			i := drawDaemon(t)
 			pullFrom(w.daemons[i], w.daemons[(i+1)%daemons])
 			w.checkMonotonic(t, i)
 		}
 		t.Repeat(map[string]func(*rapid.T){
-			"configure": func(*rapid.T) { w.writeConfig() }, "live": w.advanceServer, "live on": w.advanceServer,
-			"read": read, "read again": read, "ask": ask, "ask again": ask,
+			"configure": func(*rapid.T) { w.writeConfig() }, "lifecycle": w.advanceServer, "lifecycle again": w.advanceServer,
+			"read": read, "read again": read, "ask peer": pull, "ask peer again": pull,
 			"copy": func(*rapid.T) {
 				w.copied = [topicCount]int{len(w.store.records[TopicOperators]), len(w.store.records[TopicServers])}
 			},
 			"come back": func(*rapid.T) { w.store.restoreCopy(w.copied[TopicOperators], w.copied[TopicServers]) },
-			"start":     func(t *rapid.T) { w.start(one(t)) },
+			"start":     func(t *rapid.T) { w.start(drawDaemon(t)) },
 		})
 		w.checkConvergence(t)
 	})
--- a/internal/membership/restoredstore_test.go
+++ b/internal/membership/restoredstore_test.go
@@ -10,21 +10,21 @@
 	. "github.com/onsi/gomega"
 )
 
-// askOf makes one daemon ask another.
-func pullFrom(asking, asked *fixture) {
-	from := NewExchange(asked.members, Peer{}, nil, nil, asked.follower.log)
-	to := NewExchange(asking.members, Peer{}, nil, nil, asking.follower.log)
-	known := asking.members.positions()
-	version, operatorsEra, serversEra := asking.members.version(), known.operators.Era(), known.servers.Era()
+// pullFrom makes a daemon pull from a peer.
+func pullFrom(caller, peer *fixture) {
+	from := NewExchange(peer.members, Peer{}, nil, nil, peer.follower.log)
+	to := NewExchange(caller.members, Peer{}, nil, nil, caller.follower.log)
+	known := caller.members.positions()
+	version, operatorsEra, serversEra := caller.members.version(), known.operators.Era(), known.servers.Era()
 	reply, err := from.Exchange(context.Background(), &peerrpc.ExchangeRequest{
 		OperatorsNext: known.operators.Offset(), OperatorsEra: &operatorsEra,
 		ServersNext: known.servers.Offset(), ServersEra: &serversEra, ConfigurationVersion: &version,
 	})
 	Expect(err).NotTo(HaveOccurred())
-	to.mergeReply(reply, asking.now, "peer")
+	to.mergeReply(reply, caller.now, "peer")
 }
 
-var _ = Describe("a store that comes back from an older copy", func() {
+var _ = Describe("a store restored from an older copy", func() {
 	var b *fixture
 	BeforeEach(func() {
 		b = newFixture()
@@ -43,7 +43,7 @@
 	})
 	inForce := func(b *fixture) int64 { return b.members.Config().Version }
 
-	It("takes no configuration back, and brings newer ones at offsets that others had", func() {
+	It("doesn't revert the configuration, and delivers newer ones at reused offsets", func() {
 		b.store.restoreCopy(1, 3)
 		Expect(b.read()).To(Succeed())
 		Expect(inForce(b)).To(Equal(int64(3)))
@@ -53,7 +53,7 @@
 		Expect(b.members.positions().operators).To(Equal(storelog.NewPosition(1, 2)))
 	})
 
-	It("doesn't bring back who leaves or has gone, nor take away who has the time to register again", func() {
+	It("keeps leaving and removed servers so, and lets missing ones register again", func() {
 		b.store.restoreCopy(1, 3)
 		Expect(b.read()).To(Succeed())
 		Expect(b.ids()).To(ConsistOf("a", "b", "d"))
@@ -64,10 +64,10 @@
 		b.store.append(TopicServers, "d", "1.1.1.4:1")
 		b.now = b.now.Add(departureHold)
 		Expect(b.read()).To(Succeed())
-		Expect(b.ids()).To(ConsistOf("a", "b", "c", "d"), "the registry lists it still")
+		Expect(b.ids()).To(ConsistOf("a", "b", "c", "d"), "still listed by the registry")
 	})
 
-	It("drops at once who goes after the return", func() {
+	It("removes servers at once that are deleted after the restore", func() {
 		b.store.restoreCopy(1, 3)
 		Expect(b.read()).To(Succeed())
 		b.store.append(TopicServers, "c", "")
@@ -79,7 +79,7 @@
 		Expect(b.ids()).To(ConsistOf("b"))
 	})
 
-	It("brings changes whose positions are lower than known ones, also when it comes back twice", func() {
+	It("delivers changes at lower offsets than before, also after a second restore", func() {
 		for range 2 {
 			b.store.restoreCopy(1, 3)
 			Expect(b.read()).To(Succeed())
@@ -90,32 +90,32 @@
 		Expect(b.members.positions().servers).To(Equal(storelog.NewPosition(2, 4)))
 	})
 
-	It("is known from others to a daemon that can't reach it", func() {
-		cut := newFixture()
-		pullFrom(cut, b)
+	It("reaches a daemon that lost the store through its peers", func() {
+		partitioned := newFixture()
+		pullFrom(partitioned, b)
 		b.store.restoreCopy(1, 3)
 		b.store.append(TopicOperators, "config", "5")
 		b.store.append(TopicServers, "a", "1.1.1.1:1 leaving")
 		Expect(b.read()).To(Succeed())
-		pullFrom(cut, b)
-		Expect(inForce(cut)).To(Equal(int64(5)))
-		Expect(cut.members.Servers().ByID("a").Leaving).To(BeTrue())
-		Expect(cut.members.Servers().ByID("b").Leaving).To(BeTrue())
-		pullFrom(b, cut)
+		pullFrom(partitioned, b)
+		Expect(inForce(partitioned)).To(Equal(int64(5)))
+		Expect(partitioned.members.Servers().ByID("a").Leaving).To(BeTrue())
+		Expect(partitioned.members.Servers().ByID("b").Leaving).To(BeTrue())
+		pullFrom(b, partitioned)
 		Expect(inForce(b)).To(Equal(int64(5)))
 	})
 
-	It("hides no configuration from a daemon that starts, nor from one that asks a daemon of a former era", func() {
-		former := newFixture()
-		pullFrom(former, b)
+	It("doesn't hide the configuration from a new daemon, whichever era its peer is in", func() {
+		formerEra := newFixture()
+		pullFrom(formerEra, b)
 		b.store.restoreCopy(1, 3)
 		started := newFixture()
 		started.store = b.store
 		started.follower.store = b.store
 		Expect(started.read()).To(Succeed())
-		Expect(inForce(started)).To(Equal(int64(1)), "that's all the store has")
+		Expect(inForce(started)).To(Equal(int64(1)), "the only one in the store")
 		position := started.members.positions()
-		pullFrom(started, former)
+		pullFrom(started, formerEra)
 		Expect(inForce(started)).To(Equal(int64(3)))
 		Expect(started.members.positions()).To(Equal(position))
 		Expect(b.read()).To(Succeed())
@@ -126,7 +126,7 @@
 		Expect(inForce(other)).To(Equal(int64(3)))
 	})
 
-	It("isn't asked without a pause when it names no era", func() {
+	It("returns an error to retry after a delay if it reports no era", func() {
 		b.store.records[TopicOperators] = b.store.records[TopicOperators][:1]
 		Expect(b.follower.readConfig(context.Background())).To(MatchError(errStoreBehind))
 		Expect(inForce(b)).To(Equal(int64(3)))
@@ -137,7 +137,7 @@
 		Expect(inForce(b)).To(Equal(int64(6)))
 	})
 
-	It("isn't mistaken for another by daemons that tell no era", func() {
+	It("works with peers that report no era", func() {
 		b.store.append(TopicServers, "e", "1.1.1.5:1")
 		Expect(b.read()).To(Succeed())
 		reply, err := NewExchange(b.members, Peer{}, nil, nil, b.follower.log).Exchange(context.Background(), &peerrpc.ExchangeRequest{OperatorsNext: 3, ServersNext: 6})
--- a/internal/membership/topic.go
+++ b/internal/membership/topic.go
@@ -1,6 +1,6 @@
-// Package membership keeps a daemon's copy of the operators' configuration and
-// of the backend servers' registrations. It follows the platform's store, and
-// asks other daemons when the store can't be reached.
+// Package membership maintains a daemon's copy of the operators' configuration and of the backend
+// servers' registrations. It follows the platform's store and pulls from other daemons while the
+// store is unreachable.
 package membership
 
 import (
@@ -9,28 +9,26 @@
 	"github.com/crowbridge/crowbridge/internal/storelog"
 )
 
-// Record is the newest record of a key. An empty value says that the key was
-// deleted.
+// Record is the newest record of a key. An empty value means that the key was deleted.
 type Record struct {
 	Key      string
 	Value    []byte
 	Position storelog.Position
-	// Unreadable says why the record can't be read, where it can't: other writers may have
-	// left it. It names nothing, not even its key.
+	// Unreadable is the reason why the record can't be decoded. Such a record has no key.
 	Unreadable string
 }
 
-// topic is the newest record of each key of one topic. Invariants: next never falls, a
-// key's record never gives way to an older one, and all records are of the era of next.
-// Deleted keys stay, so that they can be propagated.
+// topic holds the newest record of each key of a topic. next never decreases, a record is never
+// replaced by an older one, and all records belong to the era of next. Deleted keys are kept so
+// that deletions propagate.
 type topic struct {
 	next    storelog.Position
 	records map[string]Record
-	// changed is where each key last changed by more than a heartbeat.
-	// Only such changes are propagated to other daemons.
+	// changed maps each key to the position of its last change, heartbeats excluded. Only these
+	// changes are propagated to peers.
 	changed map[string]storelog.Position
-	// base is the position up to which only the newest of each key was read: deletions
-	// before it aren't among the records.
+	// snapshotNext is the position after the last merged snapshot: deletions before it aren't among
+	// the records.
 	snapshotNext storelog.Position
 }
 
@@ -40,8 +38,8 @@
 	}
 }
 
-// take takes in records up to the position next. It returns the keys that have a
-// newer record; markChanged says which of these are to be propagated.
+// merge adds records up to the position next. It returns the keys with a newer record; the caller
+// marks those that must be propagated by markChanged.
 func (t *topic) merge(records []Record, next storelog.Position) []string {
 	var changed []string
 	for _, r := range records {
@@ -55,8 +53,8 @@
 	return changed
 }
 
-// replace takes in the newest record of every key: keys that are missing were
-// deleted before the position next. It's the only way into another era of the store.
+// mergeSnapshot merges the newest record of every key; missing keys were deleted before the
+// position next. Only a snapshot can move the topic to another era.
 func (t *topic) mergeSnapshot(records []Record, next storelog.Position) []string {
 	present := make(map[string]bool, len(records))
 	for _, r := range records {
@@ -72,11 +70,11 @@
 	return t.merge(records, next)
 }
 
-// markChanged notes that a key's newest record is more than a heartbeat.
+// markChanged marks the newest record of a key for propagation.
 func (t *topic) markChanged(key string) { t.changed[key] = t.records[key].Position }
 
-// propagateOnly makes the topic propagate the keys of some records only. What an older copy of
-// the store lacks isn't known to have been deleted: each daemon judges that by itself.
+// limitPropagation propagates only the keys of the given records. A key that an older copy of the
+// store lacks wasn't necessarily deleted; each daemon decides that on its own.
 func (t *topic) limitPropagation(records []Record) {
 	listed := make(map[string]bool, len(records))
 	for _, r := range records {
@@ -85,7 +83,7 @@
 	maps.DeleteFunc(t.changed, func(key string, _ storelog.Position) bool { return !listed[key] })
 }
 
-// since returns the newest records of the keys that changed from a position on.
+// changedSince returns the newest records of the keys that changed from a position on.
 func (t *topic) changedSince(from storelog.Position) []Record {
 	var found []Record
 	for key, changed := range t.changed {
--- a/internal/storelog/eras.go
+++ b/internal/storelog/eras.go
@@ -1,16 +1,15 @@
-// Package storelog orders what lies in the platform's store, whose log may come back from
-// an older copy.
+// Package storelog defines positions in the platform's store and tracks the store's eras.
 package storelog
 
 import "sync"
 
-// NoEra is the era of a store that names none.
+// NoEra is the era of a store that doesn't report eras.
 const NoEra int64 = 0
 
-// EraTracker is the newest era that a daemon has heard of. A store's era rises each time that it
-// comes back from an older copy: records that it had acknowledged may be gone then, and
-// their offsets are given out again. The zero value has heard of none. Safe for concurrent
-// use; its lock is a leaf.
+// EraTracker records the newest era of the store that this daemon knows. The era increases each
+// time the store is restored from an older copy: acknowledged records may then be missing, and
+// their offsets are reused. The zero value knows no era. It is safe for concurrent use; no other
+// lock is acquired while its lock is held.
 type EraTracker struct {
 	mu        sync.Mutex
 	newest    int64
@@ -18,18 +17,20 @@
 	onAdvance []func(before, now int64)
 }
 
-// OnAdvance calls f whenever the store turns out to have come back. Call it before the first Note.
+// OnAdvance registers a callback that runs each time the era advances. It must be called before the
+// first Observe.
 func (e *EraTracker) OnAdvance(f func(before, now int64)) { e.onAdvance = append(e.onAdvance, f) }
 
-// Observe takes in an era that the store or another daemon has named.
+// Observe records an era that the store or a peer reported. The first one doesn't count as an
+// advance.
 func (e *EraTracker) Observe(era int64) {
 	e.mu.Lock()
-	before, risen := e.newest, e.known && era > e.newest
+	before, advanced := e.newest, e.known && era > e.newest
 	if era >= e.newest {
 		e.newest, e.known = era, true
 	}
 	e.mu.Unlock()
-	if !risen {
+	if !advanced {
 		return
 	}
 	for _, f := range e.onAdvance {
@@ -37,7 +38,7 @@
 	}
 }
 
-// Newest returns the newest era heard of.
+// Newest returns the newest known era.
 func (e *EraTracker) Newest() int64 {
 	e.mu.Lock()
 	defer e.mu.Unlock()
