--- a/internal/entry/serve.go
+++ b/internal/entry/serve.go
@@ -241,7 +241,7 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	limit := x.customer.Spec.MaxInFlight
-	if limit > 0 && e.inFlight[x.customer.Name] >= bound {
+	if limit > 0 && e.inFlight[x.customer.Name] >= limit {
 		return false
 	}
 	e.inFlight[x.customer.Name]++
