--- a/internal/dispatch/relay.go
+++ b/internal/dispatch/relay.go
@@ -11,132 +11,133 @@
 	"github.com/pkg/errors"
 )
 
-// bufferedAnswer is the largest answer, in bytes, that is read whole before the
-// caller gets any of it, so that one that breaks off can be asked for again.
-const bufferedAnswer = 256 << 10
+// maxBufferedResponse is the largest response, in bytes, that is read completely before it is
+// relayed, so that the request can be retried if the response is truncated.
+const maxBufferedResponse = 256 << 10
 
-// errUnended says that a stream stopped without the event that ends it.
-var errUnended = errors.New("the stream ended without its last event")
+// errNoEndEvent is the error of a stream that ends without its end event.
+var errNoEndEvent = errors.New("stream ended without its end event")
 
-// errCaller says that the caller takes no more of its answer.
-var errCaller = errors.New("the caller takes no more")
+// errCallerGone is the error of writes to a caller that has disconnected.
+var errCallerGone = errors.New("caller disconnected")
 
-// callerError says why.
-func callerError(err error) error { return fmt.Errorf("%w: %w", errCaller, err) }
+// callerGoneError wraps a write error.
+func callerGoneError(err error) error { return fmt.Errorf("%w: %w", errCallerGone, err) }
 
-// relayAnswer passes a plain answer on.
-func (p *Pipeline) relayAnswer(ctx context.Context, x *exchange, server *fleet.Server, a *Response, caller ResponseWriter) *failure.Error {
-	head, err := io.ReadAll(io.LimitReader(a.Body, bufferedAnswer))
+// relayResponse relays a response that isn't a stream.
+func (p *Pipeline) relayResponse(ctx context.Context, x *exchange, server *fleet.Server, response *Response, w ResponseWriter) *failure.Error {
+	head, err := io.ReadAll(io.LimitReader(response.Body, maxBufferedResponse))
 	if err != nil {
-		return p.brokenOff(ctx, x, server, err)
+		return p.handleBrokenResponse(ctx, x, server, err)
 	}
-	length := a.Length
-	whole := len(head) < bufferedAnswer
+	length := response.Length
+	whole := len(head) < maxBufferedResponse
 	if whole {
 		length = int64(len(head))
 	}
-	x.begun, x.status = true, a.Status
-	caller.Start(a.Status, a.Header, length)
-	if err := caller.Write(head); err != nil {
-		return p.brokenOff(ctx, x, server, callerError(err))
+	x.started, x.status = true, response.Status
+	w.Start(response.Status, response.Header, length)
+	if err := w.Write(head); err != nil {
+		return p.handleBrokenResponse(ctx, x, server, callerGoneError(err))
 	}
 	if whole {
 		return nil
 	}
-	return p.copyRest(ctx, x, server, a, caller)
+	return p.copyRest(ctx, x, server, response, w)
 }
 
-func (p *Pipeline) copyRest(ctx context.Context, x *exchange, server *fleet.Server, a *Response, caller ResponseWriter) *failure.Error {
+// copyRest relays the part of a body that exceeds the buffer.
+func (p *Pipeline) copyRest(ctx context.Context, x *exchange, server *fleet.Server, response *Response, w ResponseWriter) *failure.Error {
 	buffer := make([]byte, 32<<10)
 	for {
-		n, err := a.Body.Read(buffer)
+		n, err := response.Body.Read(buffer)
 		if n > 0 {
-			if err := caller.Write(buffer[:n]); err != nil {
-				return p.brokenOff(ctx, x, server, callerError(err))
+			if err := w.Write(buffer[:n]); err != nil {
+				return p.handleBrokenResponse(ctx, x, server, callerGoneError(err))
 			}
 		}
 		if errors.Is(err, io.EOF) {
 			return nil
 		}
 		if err != nil {
-			return p.brokenOff(ctx, x, server, err)
+			return p.handleBrokenResponse(ctx, x, server, err)
 		}
 	}
 }
 
-// brokenOff explains an answer that ended too early.
-func (p *Pipeline) brokenOff(ctx context.Context, x *exchange, server *fleet.Server, err error) *failure.Error {
-	if cause := context.Cause(ctx); errors.Is(cause, errStalled) || errors.Is(cause, errSilent) {
+// handleBrokenResponse returns the failure of a truncated response.
+func (p *Pipeline) handleBrokenResponse(ctx context.Context, x *exchange, server *fleet.Server, err error) *failure.Error {
+	if cause := context.Cause(ctx); errors.Is(cause, errStalled) || errors.Is(cause, errUnresponsive) {
 		return failure.Unknown(failure.StepRelay, server.ID, failure.CodeSlow, cause.Error())
 	}
-	p.noteCutOff(ctx, x, server, err)
-	if ctx.Err() == nil && !errors.Is(err, errCaller) {
+	p.recordConnectionLost(ctx, x, server, err)
+	if ctx.Err() == nil && !errors.Is(err, errCallerGone) {
 		p.chooser.RecordFailure(server.Key(), p.now())
 	}
 	return failure.Unknown(failure.StepRelay, server.ID, failure.CodeServerLost, err.Error())
 }
 
-// relayStream passes whole events on as they come. Nothing reaches the caller
-// before the first one, so that a stream without any can be asked for again.
-func (p *Pipeline) relayStream(ctx context.Context, x *exchange, server *fleet.Server, a *Response, caller ResponseWriter, watch *stallWatch) *failure.Error {
-	reader := httpapi.NewEventReader(a.Body)
+// relayStream relays complete events as they arrive. Nothing is sent to the caller before the
+// first event, so that a stream without any can be retried.
+func (p *Pipeline) relayStream(ctx context.Context, x *exchange, server *fleet.Server, response *Response, w ResponseWriter, detector *stallDetector) *failure.Error {
+	reader := httpapi.NewEventReader(response.Body)
 	var pending []byte
-	begun := false
+	started := false
 	for {
 		event, err := reader.Next()
 		if err == nil {
-			if begun { // a first event alone doesn't show that its group goes on
-				p.board.sawEvent(server, p.now())
+			if started { // a first event alone doesn't show that the group makes progress
+				p.balancer.recordEvent(server, p.now())
 			}
-			begun = true
-			watch.sawEvent()
+			started = true
+			detector.recordEvent()
 		}
 		if err == nil && (event.ID < 0 || event.ID > x.lastEvent) {
 			pending = append(pending, event.Raw...)
 			x.lastEvent = max(x.lastEvent, event.ID)
 		}
-		ended := errors.Is(err, io.EOF)
-		if x.HasEndEvent && ended {
-			ended, err = false, errUnended
+		done := errors.Is(err, io.EOF)
+		if x.HasEndEvent && done {
+			done, err = false, errNoEndEvent
 		}
 		if x.HasEndEvent && err == nil && event.Done {
-			ended = true
+			done = true
 		}
-		if ended || (err == nil && !reader.Ready()) {
-			if p.begin(x, a, caller); caller.Write(pending) != nil {
-				return p.brokenOff(ctx, x, server, errCaller)
+		if done || (err == nil && !reader.Ready()) {
+			if p.startResponse(x, response, w); w.Write(pending) != nil {
+				return p.handleBrokenResponse(ctx, x, server, errCallerGone)
 			}
 			pending = pending[:0]
-			if ended {
+			if done {
 				return nil
 			}
-			if f := p.moveAway(x, server); f != nil {
+			if f := p.migrateStream(x, server); f != nil {
 				return f
 			}
 		}
 		if err != nil {
-			return p.brokenStream(ctx, x, server, pending, caller, err)
+			return p.handleBrokenStream(ctx, x, server, pending, w, err)
 		}
 	}
 }
 
-// begin starts the caller's answer, once.
-func (p *Pipeline) begin(x *exchange, a *Response, caller ResponseWriter) {
-	if x.begun {
+// startResponse starts the caller's response, once.
+func (p *Pipeline) startResponse(x *exchange, response *Response, w ResponseWriter) {
+	if x.started {
 		return
 	}
-	x.begun, x.status = true, a.Status
-	countFirstByte(x, p.now())
-	caller.Start(a.Status, a.Header, -1)
+	x.started, x.status = true, response.Status
+	observeFirstEvent(x, p.now())
+	w.Start(response.Status, response.Header, -1)
 }
 
-// brokenStream passes on what came before the break.
-func (p *Pipeline) brokenStream(ctx context.Context, x *exchange, server *fleet.Server, pending []byte, caller ResponseWriter, err error) *failure.Error {
-	if len(pending) > 0 && x.begun && caller.Write(pending) != nil {
-		return p.brokenOff(ctx, x, server, errCaller)
+// handleBrokenStream relays the events before the break and returns the failure.
+func (p *Pipeline) handleBrokenStream(ctx context.Context, x *exchange, server *fleet.Server, pending []byte, w ResponseWriter, err error) *failure.Error {
+	if len(pending) > 0 && x.started && w.Write(pending) != nil {
+		return p.handleBrokenResponse(ctx, x, server, errCallerGone)
 	}
-	if !x.begun {
+	if !x.started {
 		x.lastEvent = -1
 	}
-	return p.brokenOff(ctx, x, server, err)
+	return p.handleBrokenResponse(ctx, x, server, err)
 }
--- a/internal/dispatch/response.go
+++ b/internal/dispatch/response.go
@@ -8,49 +8,49 @@
 	"github.com/crowbridge/crowbridge/internal/fleet"
 )
 
-// judge returns why an answer can't be passed on, or nil.
-func (p *Pipeline) judge(ctx context.Context, x *exchange, server *fleet.Server, a *Response) *failure.Error {
-	if f := a.Info.Failure; f != nil {
+// validateResponse returns why a response can't be relayed, or nil.
+func (p *Pipeline) validateResponse(ctx context.Context, x *exchange, server *fleet.Server, response *Response) *failure.Error {
+	if f := response.Info.Failure; f != nil {
 		x.mayHaveRun = x.mayHaveRun || f.Outcome != failure.OutcomeNotRun
 		if (f.Code == failure.CodeResting || f.Code == failure.CodeLimited) && x.Homes == nil {
-			f.RetryAfter = p.comeBack(x)
+			f.RetryAfter = p.retryAfter(x)
 		}
 		if f.Code == failure.CodeServerLost && f.Outcome == failure.OutcomeUnknown {
-			p.noteCutOff(ctx, x, server, f)
+			p.recordConnectionLost(ctx, x, server, f)
 		}
 		return f
 	}
-	if a.Info.NotRun {
-		return p.refused(x, server, a)
+	if response.Info.NotRun {
+		return p.handleRefusal(x, server, response)
 	}
 	x.mayHaveRun = true
-	if a.Info.Trusted {
+	if response.Info.Trusted {
 		return nil
 	}
-	garbled := ""
+	reason := ""
 	switch {
-	case a.Info.RequestID != x.request.ID:
-		garbled = "the answer belongs to another request"
-	case a.Info.Encoded:
-		garbled = "the answer's body isn't the server's"
-	case a.Status < http.StatusMultipleChoices && !a.Info.Signed:
-		garbled = "the answer isn't signed by a server"
-	case promisesNotRun(a.Status):
-		garbled = "the server failed without saying that it didn't run the request"
-	case a.Status >= http.StatusInternalServerError && x.route.Idempotent() && x.sent < x.route.MaxAttempts:
-		garbled = "the server failed"
+	case response.Info.RequestID != x.request.ID:
+		reason = "the response belongs to another request"
+	case response.Info.Encoded:
+		reason = "the response body was transformed on the way from the server"
+	case response.Status < http.StatusMultipleChoices && !response.Info.Signed:
+		reason = "the response isn't signed by a server"
+	case impliesNotRun(response.Status):
+		reason = "the server failed without reporting that it didn't run the request"
+	case response.Status >= http.StatusInternalServerError && x.route.Idempotent() && x.sentAttempts < x.route.MaxAttempts:
+		reason = "the server failed"
 	}
-	if garbled == "" {
+	if reason == "" {
 		return nil
 	}
 	p.chooser.RecordFailure(server.Key(), p.now())
-	f := failure.Unknown(failure.StepRun, server.ID, failure.CodeServerLost, garbled)
-	x.status = a.Status
+	f := failure.Unknown(failure.StepRun, server.ID, failure.CodeServerLost, reason)
+	x.status = response.Status
 	return f
 }
 
-// promisesNotRun tells whether callers read a status as "not run".
-func promisesNotRun(status int) bool {
+// impliesNotRun reports whether callers take a status to mean that the request didn't run.
+func impliesNotRun(status int) bool {
 	switch status {
 	case http.StatusRequestTimeout, http.StatusMisdirectedRequest, http.StatusTooManyRequests, http.StatusServiceUnavailable:
 		return true
@@ -59,21 +59,21 @@
 	}
 }
 
-// refused explains an answer that says the request didn't run.
-func (p *Pipeline) refused(x *exchange, server *fleet.Server, a *Response) *failure.Error {
+// handleRefusal returns the failure for a response that reports that the request didn't run.
+func (p *Pipeline) handleRefusal(x *exchange, server *fleet.Server, response *Response) *failure.Error {
 	now := p.now()
-	if a.Status == http.StatusMisdirectedRequest {
+	if response.Status == http.StatusMisdirectedRequest {
 		p.chooser.RecordFailure(server.Key(), now)
 		if p.quarantine != nil {
-			p.quarantine.MarkExited(server.Key(), "another server has its address")
+			p.quarantine.MarkExited(server.Key(), "another server uses its address")
 		}
-		return failure.NotRun(failure.StepSend, server.ID, failure.CodeWrongServer, "another server has the address").After(noServerRetry)
+		return failure.NotRun(failure.StepSend, server.ID, failure.CodeWrongServer, "another server uses the address").After(noServerRetryAfter)
 	}
-	if server.Rank != nil && a.Info.FaultyServer != "" {
-		p.board.markBroken(server, now)
+	if server.Rank != nil && response.Info.FaultyServer != "" {
+		p.balancer.markBroken(server, now)
 		return failure.NotRun(failure.StepQueue, server.ID, failure.CodeNoServer,
-			"the server's group is broken at "+a.Info.FaultyServer).After(groupRetry)
+			"the server's group is broken at "+response.Info.FaultyServer).After(groupRetryAfter)
 	}
 	p.chooser.RecordFailure(server.Key(), now)
-	return failure.NotRun(failure.StepQueue, server.ID, failure.CodeOverloaded, "the server refused the request").After(p.comeBack(x))
+	return failure.NotRun(failure.StepQueue, server.ID, failure.CodeOverloaded, "the server refused the request").After(p.retryAfter(x))
 }
--- a/internal/dispatch/sample.go
+++ b/internal/dispatch/sample.go
@@ -7,36 +7,36 @@
 	"github.com/crowbridge/crowbridge/internal/fleet"
 )
 
-// mostLooked is how many servers of a service a choice looks at: a few of them are drawn among
-// in the end, and a look at each of thousands would cost more than all else about a request.
-const mostLooked = 128
+// sampleSize is the number of servers considered for a choice, which bounds its cost in
+// services with thousands of servers.
+const sampleSize = 128
 
-// some draws servers to look at, if there are more than a choice looks at. One may be drawn
-// twice.
-func (b *Balancer) some(servers []*fleet.Server) (drawn []*fleet.Server, all bool) {
-	if len(servers) <= mostLooked {
+// sample returns a random sample of the servers, with repetition, or all of them if they are
+// few enough.
+func (b *Balancer) sample(servers []*fleet.Server) (sampled []*fleet.Server, all bool) {
+	if len(servers) <= sampleSize {
 		return servers, true
 	}
-	drawn = make([]*fleet.Server, mostLooked)
-	for i := range drawn {
-		drawn[i] = servers[b.random(len(servers))]
+	sampled = make([]*fleet.Server, sampleSize)
+	for i := range sampled {
+		sampled[i] = servers[b.random(len(servers))]
 	}
-	return drawn, false
+	return sampled, false
 }
 
-// pick chooses among some of the servers that may run a request, or among all if none of these
-// may get it.
-func (p *Pipeline) pick(ctx context.Context, x *exchange) (Choice, *failure.Error) {
+// chooseCandidate chooses from a sample of the allowed servers, or from all of them if none in
+// the sample is eligible.
+func (p *Pipeline) chooseCandidate(ctx context.Context, x *exchange) (Choice, *failure.Error) {
 	candidates := p.candidates(x)
-	drawn, all := p.board.some(candidates)
+	sampled, all := p.balancer.sample(candidates)
 	if !all {
-		if open, _ := p.board.open(drawn, p.now()); len(open) > 0 {
-			if picked := p.chooser.Choose(p.now(), open, x.request, x.tried); picked.Server != nil {
-				return picked, nil
+		if open, _ := p.balancer.openServers(sampled, p.now()); len(open) > 0 {
+			if choice := p.chooser.Choose(p.now(), open, x.request, x.tried); choice.Server != nil {
+				return choice, nil
 			}
 		}
 	}
-	servers, f := p.openServers(ctx, x, candidates)
+	servers, f := p.awaitOpenServers(ctx, x, candidates)
 	if f != nil {
 		return Choice{}, f
 	}
--- a/internal/dispatch/slowrank.go
+++ b/internal/dispatch/slowrank.go
@@ -8,48 +8,48 @@
 )
 
 const (
-	// slowPace is the pace from which on a rank holds its whole group back: every
-	// pass lasts as long as the slowest rank's own part, which an idle rank doesn't have.
-	slowPace = 1.5
-	// mostSlow is the part of a group's ranks that may be slow, or silent, for the others
-	// to take their work over.
-	mostSlow = 0.25
-	// slowPenalty puts slow ranks behind all others, but before those that failed.
+	// slowThreshold is the slowdown from which a rank slows its whole group, whose passes last
+	// as long as the slowest rank's.
+	slowThreshold = 1.5
+	// maxDegradedFraction is the fraction of a group's ranks that may be slow or unresponsive
+	// for the others to take over their work.
+	maxDegradedFraction = 0.25
+	// slowPenalty ranks slow servers behind all others, but before those in backoff.
 	slowPenalty = 500
 )
 
-// slow tells whether a row's server says that it's slow.
-func (r *row) slow(now time.Time) bool {
-	return r.reported.Slowdown >= slowPace && now.Sub(r.reportedAt) <= freshLoad
+// isSlow reports whether the server's last report is recent and shows that it is slow.
+func (s *serverState) isSlow(now time.Time) bool {
+	return s.reported.Slowdown >= slowThreshold && now.Sub(s.reportedAt) <= loadFreshness
 }
 
-// holdsBack tells whether a rank is slow while most others of its service aren't.
-func (b *Balancer) holdsBack(now time.Time, server *fleet.Server, servers []*fleet.Server) bool {
+// slowsGroup reports whether a rank is slow while most others of its service aren't.
+func (b *Balancer) slowsGroup(now time.Time, server *fleet.Server, servers []*fleet.Server) bool {
 	if server.Rank == nil {
 		return false
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if !b.row(server.Key()).slow(now) {
+	if !b.state(server.Key()).isSlow(now) {
 		return false
 	}
 	slow := 0
 	for _, other := range servers {
-		if b.row(other.Key()).slow(now) {
+		if b.state(other.Key()).isSlow(now) {
 			slow++
 		}
 	}
-	return float64(slow) <= mostSlow*float64(len(servers))
+	return float64(slow) <= maxDegradedFraction*float64(len(servers))
 }
 
-// moveAway ends a stream's attempt at a rank that holds its group back, if the
-// stream can go on at another one; otherwise it returns nil.
-func (p *Pipeline) moveAway(x *exchange, server *fleet.Server) *failure.Error {
+// migrateStream ends a stream's attempt at a rank that slows its group if the stream can
+// resume at another server; otherwise it returns nil.
+func (p *Pipeline) migrateStream(x *exchange, server *fleet.Server) *failure.Error {
 	now := p.now()
-	if !x.route.Idempotent() || x.lastEvent < 0 || x.sent >= x.route.MaxAttempts ||
-		!p.board.holdsBack(now, server, p.candidates(x)) || !p.anotherTakes(x, server) || !p.chooser.AcquireRetry(x.Service, x.request.Customer, now) {
+	if !x.route.Idempotent() || x.lastEvent < 0 || x.sentAttempts >= x.route.MaxAttempts ||
+		!p.balancer.slowsGroup(now, server, p.candidates(x)) || !p.hasAlternative(x, server) || !p.chooser.AcquireRetry(x.Service, x.request.Customer, now) {
 		return nil
 	}
-	x.paid = true
-	return failure.Unknown(failure.StepRelay, server.ID, failure.CodeSlow, "the server is slow and holds its group back: the stream goes on at another")
+	x.hasRetryToken = true
+	return failure.Unknown(failure.StepRelay, server.ID, failure.CodeSlow, "the server slows its group, resuming the stream at another")
 }
--- a/internal/dispatch/stall.go
+++ b/internal/dispatch/stall.go
@@ -10,104 +10,102 @@
 )
 
 const (
-	// streamStall is how long a stream may bring no event, while others of its group
-	// do, before it goes on at another server: its connection may have fallen silent
-	// for good. Ten of the longest pauses that the users' routes allow, so that a slow
-	// server isn't taken for a silent one, and well before the two seconds after
-	// which callers give a stream up.
-	streamStall = 1200 * time.Millisecond
-	// stallChecks is how often a stalled stream looks whether others go on, as a part
-	// of streamStall.
-	stallChecks = 10
+	// stallTimeout is how long a stream may lack events, while others of its group receive them,
+	// before it resumes at another server. It is ten times the longest pause that routes allow,
+	// and less than the two seconds after which callers give up.
+	stallTimeout = 1200 * time.Millisecond
+	// checksPerStall is how many times per stallTimeout a stalled stream checks whether others
+	// receive events.
+	checksPerStall = 10
 )
 
-// errStalled ends an attempt whose stream stalled.
-var errStalled = errors.New("the stream brings no events while others of its group do")
+// errStalled is the cancellation cause of an attempt whose stream stalled.
+var errStalled = errors.New("stream stalled while others of its group received events")
 
-// errSilent ends an attempt at a VM that has fallen silent.
-var errSilent = errors.New("the server's VM has fallen silent while others of its group have not")
+// errUnresponsive is the cancellation cause of an attempt at an unresponsive VM.
+var errUnresponsive = errors.New("VM unresponsive while others of its group responded")
 
-// stallWatch ends the attempt of a stream that stalls alone. A group stalls with
-// all its streams at once, so that no other rank would do better. Before its first
-// event, a stream may wait for a place: then it stalls only if its server's VM has
-// fallen silent, too. A nil watch does nothing.
-type stallWatch struct {
+// stallDetector cancels the attempt of a stream that stalls while others of its group don't.
+// If a whole group stalls, no other rank would do better. Before its first event, a stream may
+// be queued: it then counts as stalled only if its server's VM is unresponsive, too. The
+// methods of a nil detector do nothing.
+type stallDetector struct {
 	pipeline *Pipeline
-	exchange *exchange // isn't changed while the attempt lasts, as far as the watch reads it
+	exchange *exchange // the fields read here don't change during the attempt
 	server   *fleet.Server
-	end      context.CancelCauseFunc
+	cancel   context.CancelCauseFunc
 
-	mu        sync.Mutex // taken before the board's
-	lastEvent time.Time
-	timer     *time.Timer
-	// begun is set with the first event, stopped once the attempt has ended.
-	begun, stopped bool
+	mu          sync.Mutex // acquired before the balancer's
+	lastEventAt time.Time
+	timer       *time.Timer
+	// started is set at the first event, stopped when the attempt has ended.
+	started, stopped bool
 }
 
-// newStallWatch returns the watch of an attempt that end ends, or nil when the
-// stream couldn't go on elsewhere.
-func (p *Pipeline) newStallWatch(x *exchange, server *fleet.Server, end context.CancelCauseFunc) *stallWatch {
-	if server.Rank == nil || !x.route.Idempotent() || x.sent+1 >= x.route.MaxAttempts {
+// newStallDetector returns the detector for an attempt, or nil if the stream couldn't resume
+// elsewhere. It calls cancel if the stream stalls.
+func (p *Pipeline) newStallDetector(x *exchange, server *fleet.Server, cancel context.CancelCauseFunc) *stallDetector {
+	if server.Rank == nil || !x.route.Idempotent() || x.sentAttempts+1 >= x.route.MaxAttempts {
 		return nil
 	}
-	w := &stallWatch{pipeline: p, exchange: x, server: server, end: end, lastEvent: time.Now()}
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.timer = time.AfterFunc(p.streamStall, w.check)
-	return w
+	d := &stallDetector{pipeline: p, exchange: x, server: server, cancel: cancel, lastEventAt: time.Now()}
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.timer = time.AfterFunc(p.stallTimeout, d.check)
+	return d
 }
 
-// sawEvent notes that an event came.
-func (w *stallWatch) sawEvent() {
-	if w == nil {
+// recordEvent records that an event arrived.
+func (d *stallDetector) recordEvent() {
+	if d == nil {
 		return
 	}
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.lastEvent, w.begun = time.Now(), true
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.lastEventAt, d.started = time.Now(), true
 }
 
-// stop ends the watch.
-func (w *stallWatch) stop() {
-	if w == nil {
+// stop stops the detector.
+func (d *stallDetector) stop() {
+	if d == nil {
 		return
 	}
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.stopped = true
-	w.timer.Stop()
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.stopped = true
+	d.timer.Stop()
 }
 
-// check ends the attempt, or looks again later.
-func (w *stallWatch) check() {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if w.stopped {
-		return // it was due as the attempt ended
+// check cancels the attempt if it has stalled, and otherwise reschedules itself.
+func (d *stallDetector) check() {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	if d.stopped {
+		return // the timer had already fired
 	}
-	stall := w.pipeline.streamStall
-	if silent := time.Since(w.lastEvent); silent < stall {
-		w.timer.Reset(stall - silent)
+	timeout := d.pipeline.stallTimeout
+	if idle := time.Since(d.lastEventAt); idle < timeout {
+		d.timer.Reset(timeout - idle)
 		return
 	}
-	cause := w.cause(w.pipeline.now())
+	cause := d.cause(d.pipeline.now())
 	if cause == nil {
-		w.timer.Reset(stall / stallChecks)
+		d.timer.Reset(timeout / checksPerStall)
 		return
 	}
-	w.end(cause)
+	d.cancel(cause)
 }
 
-// cause says why the attempt has to end, if it has to. The watch's lock is held.
-func (w *stallWatch) cause(now time.Time) error {
-	board := w.pipeline.board
+// cause returns why the attempt has to end, or nil. The caller holds d.mu.
+func (d *stallDetector) cause(now time.Time) error {
+	balancer := d.pipeline.balancer
 	switch {
-	case !board.flowing(w.server.Rank.Group, now) || !w.pipeline.anotherTakes(w.exchange, w.server):
+	case !balancer.hasRecentEvents(d.server.Rank.Group, now) || !d.pipeline.hasAlternative(d.exchange, d.server):
 		return nil
-	case w.begun:
+	case d.started:
 		return errStalled
-	case board.fellSilent(now, w.server):
-		return errSilent
+	case balancer.isUnresponsive(now, d.server):
+		return errUnresponsive
 	default:
 		return nil
 	}
--- a/internal/dispatch/types.go
+++ b/internal/dispatch/types.go
@@ -1,7 +1,7 @@
-// Package dispatch decides the life of one request: who sent it, where it may
-// go, which server gets it, whether it may be sent again, and how it ends. It
-// knows neither HTTP connections nor the names on the wire: a Request comes
-// in, a Backend carries attempts to servers, and a Caller takes the answer.
+// Package dispatch runs one request from arrival to final outcome: authentication, routing,
+// admission, server selection, retries and relaying of the response. It is independent of HTTP
+// connections and of the names on the wire: a Request comes in, a Backend sends attempts to
+// servers, and a ResponseWriter receives the response.
 package dispatch
 
 import (
@@ -18,137 +18,138 @@
 
 // Request is a caller's request.
 type Request struct {
-	// ID is the caller's name for this attempt; the server's answer repeats it.
+	// ID is the caller's ID for this attempt, which the server's response repeats.
 	ID     string
 	Method string
 	Host   string
-	// Path is the path alone, URI the path with the query as the caller wrote them.
+	// Path is the path alone; URI is the path and query as sent by the caller.
 	Path, URI string
 	Header    http.Header
 	Body      []byte
-	// ReceivedAt is when the whole request had been read.
+	// ReceivedAt is when the request had been read completely.
 	ReceivedAt time.Time
-	// Timeout is how long the caller waits, from Arrived on.
+	// Timeout is how long the caller waits, counted from ReceivedAt.
 	Timeout     time.Duration
 	HasDeadline bool
 	APIKey      string
-	// Resume is set when a stream is to go on after the event LastEventID.
+	// Resume asks for the events of a stream after LastEventID.
 	Resume      bool
 	LastEventID int64
-	// PromptTokens is the size of the request's prompt; 0 when not told.
+	// PromptTokens is the length of the prompt, or 0 if unknown.
 	PromptTokens int
-	// FrontendState is what a frontend hands to the backend that goes with it.
+	// FrontendState is passed unchanged from a frontend to its backend.
 	FrontendState any
-	// Customer and Priority are set once the API key and the route are known. Priority 0
-	// is the most urgent.
+	// Customer and Priority are set once the API key and the route are known. Priority 0 is the
+	// most urgent.
 	Customer string
 	Priority int
-	// Suspect is set while a server has ended under the request and it hasn't run to a
-	// good end since: it's kept apart from others of its kind.
+	// Suspect is set when a server crashed while running the request and the request hasn't
+	// succeeded since. Suspects are kept on different servers.
 	Suspect bool
-	// behind tells how much less urgent than others the request is; repeated is set when
-	// its caller was refused before.
-	behind   int
-	repeated bool
-	// connections is how many each server of the request's service takes from all VMs; 0 when
-	// that isn't bound.
-	connections int
-	// sum is the digest once it has been worked out.
-	sum *quarantine.Digest
+	// priorityGap is how much less urgent the request is than the most urgent of its service;
+	// isRetry is set when its caller was refused before.
+	priorityGap int
+	isRetry     bool
+	// maxConnections is how many connections each server of the service accepts from all VMs, or
+	// 0 if unbounded.
+	maxConnections int
+	// cachedDigest is the digest once computed.
+	cachedDigest *quarantine.Digest
 }
 
-// digest tells the request apart from others but the caller's repeats of it. The customer
-// has to be known.
+// digest identifies the request and the caller's repetitions of it. Customer must be set.
 func (r *Request) digest() quarantine.Digest {
-	if r.sum == nil {
+	if r.cachedDigest == nil {
 		sum := quarantine.DigestOf(r.Customer, r.Method, r.Host, r.URI, r.Body)
-		r.sum = &sum
+		r.cachedDigest = &sum
 	}
-	return *r.sum
+	return *r.cachedDigest
 }
 
-// Attempt is one sending of a request to one server.
+// Attempt is one send of a request to one server.
 type Attempt struct {
 	Server *fleet.Server
-	// Timeout is how long the server may work on it.
+	// Timeout is how long the server may take.
 	Timeout     time.Duration
 	HasDeadline bool
 	// Resume asks for the stream's events after ResumeAfter.
 	Resume      bool
 	ResumeAfter int64
-	// MaxConnections is how many this entry may have to the server; 0 for any number.
+	// MaxConnections is how many connections this entry may have to the server, or 0 if
+	// unbounded.
 	MaxConnections int
-	// SendCheck is asked last, just before bytes go out: with an error, nothing may be sent.
-	// What a server has said meanwhile counts, however long a connection took to be made.
-	// It may be nil.
+	// SendCheck runs just before the first bytes are sent; nothing is sent if it returns an
+	// error. The server may have become ineligible while a connection was established. May be
+	// nil.
 	SendCheck func() error
 }
 
-// Load is what a server says of itself.
+// Load is a server's self-reported load.
 type Load struct {
 	Running, Waiting int
-	// Slowdown over 1 means that the server is slower than usual; 0 when it doesn't tell.
+	// Slowdown is the current pass time relative to the usual one: more than 1 is slower. 0 if
+	// not reported.
 	Slowdown float64
 }
 
-// ResponseInfo is what the header of an answer says, besides its status.
+// ResponseInfo is the information in a response's header, besides the status.
 type ResponseInfo struct {
-	// RequestID is the request that the answer belongs to.
+	// RequestID is the ID of the request that the response belongs to.
 	RequestID string
-	// Signed is set when a backend server made the answer.
+	// Signed is set when a backend server produced the response.
 	Signed bool
-	// Encoded is set when the body isn't as the server made it.
+	// Encoded is set when the body was transformed on the way from the server.
 	Encoded bool
-	// NotRun is the server's word that it didn't run the request and won't.
+	// NotRun is set when the server reports that it didn't run the request and won't.
 	NotRun  bool
 	Load    Load
 	HasLoad bool
-	// FaultyServer is the server on whose account a group refused the request.
+	// FaultyServer is the server because of which a group refused the request.
 	FaultyServer string
-	// RetryAfter is how long the server wants no requests. OddRetryAfter is what it said
-	// instead when that can't be read.
+	// RetryAfter is how long the server accepts no requests. InvalidRetryAfter is the raw value
+	// if it can't be parsed.
 	RetryAfter        time.Duration
 	InvalidRetryAfter string
-	// Leaving is set when the server says that it leaves.
+	// Leaving is set when the server reports that it is shutting down.
 	Leaving bool
-	// Limit is what the server says of the requests that it takes a second.
+	// Limit is the request rate that the server accepts.
 	Limit ReportedLimit
-	// Trusted is set when an agent of ours answers for the server: the answer is whole
-	// and the request's, whatever its status.
+	// Trusted is set when an agent vouches that the response is complete and belongs to the
+	// request, whatever its status.
 	Trusted bool
-	// EventStream is set when the body of a vouched answer is a stream of events.
+	// EventStream is set when the body of a trusted response is an event stream.
 	EventStream bool
-	// Failure is such an agent's word on an attempt that came to nothing.
+	// Failure is the agent's error for an attempt without a response from the server.
 	Failure *failure.Error
-	// TryNextHome is set when a request that has homes may go to the next one.
+	// TryNextHome is set when the request may be sent to its next home.
 	TryNextHome bool
 }
 
-// ReportedLimit is what an answer says of its server's limit.
+// ReportedLimit is the rate limit that a response reports for its server.
 type ReportedLimit struct {
-	// Authoritative is set when the answer is the server's own, so that it says there is no limit
-	// when it names none.
+	// Authoritative is set when the response is the server's own: no limit is reported if there
+	// is none.
 	Authoritative bool
-	// Present is set when it names a limit: requests a second, from all VMs together.
+	// Present is set when there is a limit: requests per second from all VMs together.
 	Present   bool
 	PerSecond float64
-	// Invalid is what it says that can't be read.
+	// Invalid is the raw value if it can't be parsed.
 	Invalid string
 }
 
-// Response is a server's answer whose body has not been read yet.
+// Response is a server's response. The body has not been read yet.
 type Response struct {
 	Status int
 	Header http.Header
 	Info   ResponseInfo
-	// Length of the body, or -1 when the body's end tells.
+	// Length is the length of the body, or -1 if unknown.
 	Length int64
 	Body   io.ReadCloser
 }
 
-// SendError says that a server gave no answer.
+// SendError reports that no response was received from a server.
 type SendError struct {
-	// Sent is set when the server may have got the request.
+	// Sent is set when the server may have received the request.
 	Sent bool
 	Err  error
 }
@@ -159,69 +160,69 @@
 // Unwrap returns the cause.
 func (e *SendError) Unwrap() error { return e.Err }
 
-// Target is where a request may go, and for how long.
+// Target holds the routing decision for a request.
 type Target struct {
-	// Version is that of the configuration that decided.
+	// Version is the version of the configuration that was applied.
 	Version int64
 	Route   *fleet.Route
 	Service string
-	// Homes are the only servers that may run the request, in this order: the next gets
-	// it when the one before says so. Nil when any allowed server may.
+	// Homes are the only servers that may run the request, in this order: a request moves to the
+	// next one only if the current one permits it. Nil if any allowed server may run it.
 	Homes []*fleet.Server
-	// HasEndEvent is set when streams end with an event that says so.
+	// HasEndEvent is set when complete streams end with an explicit end event.
 	HasEndEvent bool
-	// Deadline is when the caller gets its final answer at the latest.
+	// Deadline is when the caller must have its final response.
 	Deadline time.Time
-	// repeated is set when the caller has tried before; behind tells how much less
-	// urgent than others the request is.
-	repeated bool
-	behind   int
-	// connections is how many each server of the service takes from all VMs together.
-	connections int
+	// isRetry is set when the caller seems to have tried before; priorityGap is how much less
+	// urgent the request is than the most urgent of its service.
+	isRetry     bool
+	priorityGap int
+	// maxConnections is how many connections each server of the service accepts from all VMs
+	// together.
+	maxConnections int
 }
 
-// Chooser decides which server gets a request, learns how that went, and keeps the
-// budget of retries.
+// Chooser selects servers, tracks the attempts, and manages the retry budget.
 type Chooser interface {
-	// Choose picks one of the candidates, but for those tried; none when no server may
-	// get the request.
+	// Choose selects one of the candidates, except those in tried. The choice has no server if
+	// none is eligible.
 	Choose(now time.Time, candidates []*fleet.Server, r *Request, tried []string) Choice
-	// RequestSent, Answering and Ended follow an attempt.
+	// RequestSent, ResponseStarted and RequestEnded track an attempt.
 	RequestSent(server string, r *Request, now time.Time)
 	ResponseStarted(server string, r *Request)
 	RequestEnded(server string, r *Request)
-	// RecordFailure and Succeeded tell how it went.
+	// RecordFailure and RecordSuccess record the result of an attempt.
 	RecordFailure(server string, now time.Time)
-	RecordSuccess(server string, took time.Duration)
-	// ObserveResponse takes in what a server says of itself in an answer. It returns for how long it
-	// gets no requests now, and whether that it leaves is news.
-	ObserveResponse(server string, info ResponseInfo, now time.Time) (rest time.Duration, leaves bool)
-	// Exclusion returns why a server may get no requests now by its own word, or nil.
+	RecordSuccess(server string, latency time.Duration)
+	// ObserveResponse records the availability that a server reports in a response. It returns
+	// how long the server is resting from now on, and whether it newly reports that it is
+	// leaving.
+	ObserveResponse(server string, info ResponseInfo, now time.Time) (rest time.Duration, newlyLeaving bool)
+	// Exclusion returns the reason why a server accepts no requests, or nil.
 	Exclusion(server string, now time.Time) *eligibility.Exclusion
-	// AcquireToken is asked last before a request's bytes go to a server. It returns 0 when the
-	// server's limit allows the request, which counts then, or else for how long it doesn't.
+	// AcquireToken is called just before a request is sent. It returns 0 if the server's rate
+	// limit admits the request, which is then counted; otherwise how long the limit admits none.
 	AcquireToken(server string, r *Request, now time.Time) time.Duration
-	// EarliestEligible returns when the first of the candidates that rest, or have a limit, takes
-	// requests again: 0 if one takes them now, or none does either.
+	// EarliestEligible returns how long until the first of the resting or rate-limited
+	// candidates accepts requests: 0 if one accepts them now, or if none will.
 	EarliestEligible(now time.Time, candidates []*fleet.Server, r *Request) time.Duration
 	// AcquireRetry takes one retry from the budget.
 	AcquireRetry(service, customer string, now time.Time) bool
-	// ReleaseRetry gives one back that was taken and not used.
+	// ReleaseRetry returns a retry that was acquired and not used.
 	ReleaseRetry(service, customer string, now time.Time)
 }
 
-// Backend carries attempts to servers.
+// Backend sends attempts to servers.
 type Backend interface {
-	// Send returns the server's answer as soon as its header is there. Ending the
-	// context ends the attempt and the reading of the answer's body.
+	// Send returns the server's response as soon as its header has been received. Canceling the
+	// context ends the attempt and the reading of the body.
 	Send(ctx context.Context, request *Request, attempt Attempt) (*Response, *SendError)
 }
 
-// ResponseWriter takes the answer to a request.
+// ResponseWriter delivers the response to the caller.
 type ResponseWriter interface {
-	// Start starts an answer with a server's header. length is -1 when the end of
-	// the body isn't known yet.
+	// Start begins the response with a server's header. length is -1 if unknown.
 	Start(status int, serverHeader http.Header, length int64)
-	// Write passes bytes of the body on at once.
+	// Write sends bytes of the body without buffering.
 	Write(data []byte) error
 }
--- a/internal/dispatch/unresponsive.go
+++ b/internal/dispatch/unresponsive.go
@@ -7,50 +7,48 @@
 )
 
 const (
-	// silentAfter is how long the agent of a rank has told nothing when its VM counts as
-	// silent, groupHeard how lately any other of its group must have told something:
-	// agents tell their load each 120 to 400 ms. A request at a VM that stands still isn't
-	// begun before its caller has left, 2 s later: of the 4 s that such a VM stood still,
-	// its twelfth of the requests was lost, and some were begun after their callers had left.
-	silentAfter = time.Second
-	groupHeard  = 500 * time.Millisecond
+	// unresponsiveAfter is the time without reports after which a rank's VM counts as
+	// unresponsive, if another rank of the group has reported within groupReportWindow. Agents
+	// report every 120 to 400 ms. Callers give up after 2 s.
+	unresponsiveAfter = time.Second
+	groupReportWindow = 500 * time.Millisecond
 )
 
-// silent tells whether a rank's agent has fallen silent while others of its group
-// tell their load. The lock is held.
-func (b *Balancer) silent(now time.Time, server *fleet.Server) bool {
+// isUnresponsiveLocked reports whether a rank's agent has stopped reporting while others of
+// its group still do. The caller holds b.mu.
+func (b *Balancer) isUnresponsiveLocked(now time.Time, server *fleet.Server) bool {
 	if server.Rank == nil {
 		return false
 	}
-	r := b.rows[server.Key()]
-	if r == nil || r.reportedAt.IsZero() || now.Sub(r.reportedAt) < silentAfter {
+	s := b.states[server.Key()]
+	if s == nil || s.reportedAt.IsZero() || now.Sub(s.reportedAt) < unresponsiveAfter {
 		return false
 	}
 	g := b.groups[server.Rank.Group]
-	return g != nil && now.Sub(g.heardAt) < groupHeard
+	return g != nil && now.Sub(g.reportedAt) < groupReportWindow
 }
 
-// fellSilent tells whether a rank is silent.
-func (b *Balancer) fellSilent(now time.Time, server *fleet.Server) bool {
+// isUnresponsive is isUnresponsiveLocked for callers that don't hold b.mu.
+func (b *Balancer) isUnresponsive(now time.Time, server *fleet.Server) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.silent(now, server)
+	return b.isUnresponsiveLocked(now, server)
 }
 
-// silentOnes returns those of some servers that are passed over because they are silent:
-// none when too many are for the others to take their work over. The lock is held.
-func (b *Balancer) silentOnes(now time.Time, servers []*fleet.Server) map[string]bool {
-	var silent map[string]bool
+// unresponsiveServers returns the keys of the unresponsive servers, or nil if they are too
+// many for the others to take over their work. The caller holds b.mu.
+func (b *Balancer) unresponsiveServers(now time.Time, servers []*fleet.Server) map[string]bool {
+	var unresponsive map[string]bool
 	for _, server := range servers {
-		if b.silent(now, server) {
-			if silent == nil {
-				silent = map[string]bool{}
+		if b.isUnresponsiveLocked(now, server) {
+			if unresponsive == nil {
+				unresponsive = map[string]bool{}
 			}
-			silent[server.Key()] = true
+			unresponsive[server.Key()] = true
 		}
 	}
-	if float64(len(silent)) > mostSlow*float64(len(servers)) {
+	if float64(len(unresponsive)) > maxDegradedFraction*float64(len(servers)) {
 		return nil
 	}
-	return silent
+	return unresponsive
 }
