--- a/internal/ranks/client.go
+++ b/internal/ranks/client.go
@@ -13,55 +13,55 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// client reaches the agents of a group's ranks for a holder. It implements
-// experts.Ranks.
+// client calls the agents of a group's ranks for a holder. It implements
+// experts.RankClient.
 type client struct {
 	group     string
 	directory Directory
 	udp       *udpClient
-	// http carries what is too large for a datagram.
+	// http carries requests that don't fit into a datagram.
 	http *http.Client
-	// local is this process's own agent, at rank ownRank.
+	// local is the agent of this process, on rank ownRank.
 	local   *experts.Agent
 	ownRank int
 	engine  experts.Engine
-	// room is how many bytes of counts a second may come over the VM's link.
+	// countsBandwidth is how many bytes of counts may be received per second.
 	countsBandwidth float64
 
-	mu sync.Mutex // a leaf
-	// places is where each rank was last: registrations lapse while a zone is cut off,
-	// and come back seconds after the rank itself.
+	mu sync.Mutex // leaf lock
+	// lastEndpoints keeps the last known endpoints of each rank. Registrations expire
+	// during a partition of a zone and return seconds after the rank is reachable again.
 	lastEndpoints map[int]Endpoints
-	// maps bounds the maps that are on their way at once.
+	// mapTransfers bounds concurrent map transfers.
 	mapTransfers *semaphore.Weighted
-	// told is the map of the last prepare order, and difference what was sent of it.
+	// lastMap is the map of the last Prepare, lastDifference its encoded difference.
 	lastMap        versionedMap
 	lastDifference *peerrpc.MapDifference
-	// silent are the ranks whose agents didn't answer; it's true while one is probed.
+	// unresponsive has the ranks whose agents didn't respond; the value is true while
+	// the agent is being probed.
 	unresponsive map[int]bool
 }
 
-// probeTimeout bounds a call to a silent agent, whose engine is asked directly
-// meanwhile. It's below the time after which an agent that hears of no holder
-// claims the lease.
+// probeTimeout bounds a probe of an unresponsive agent. It is below
+// experts.ClaimDelay, so that a probe arrives before the agent claims the lease.
 const probeTimeout = 200 * time.Millisecond
 
-// mapsAtOnce is how many maps are on their way at once: more would queue on the
-// smallest VMs' link, 8 Mbit/s, for longer than a call waits before it's repeated.
+// maxMapTransfers bounds concurrent map transfers, so that a map isn't queued for
+// longer than the call timeout on the slowest link of a VM, 8 Mbit/s.
 const maxMapTransfers = 16
 
-// remoteTry bounds one try of an order to an engine on another VM: some round
-// trips between zones.
+// remoteAttemptTimeout bounds one attempt to send a command to an engine on another
+// VM. It allows for several round trips between zones.
 const remoteAttemptTimeout = 20 * time.Millisecond
 
-// agentTimeout bounds a call to an agent when the caller sets no bound.
+// defaultAgentTimeout bounds a call to an agent if the context has no deadline.
 const defaultAgentTimeout = 600 * time.Millisecond
 
-// agentPart is the part of a call's time that an agent may take, so that time is
-// left to ask its engine.
+// agentTimeFraction is the fraction of the time until the deadline that a call to an
+// agent may take. The rest is for the fallback to the engine.
 const agentTimeFraction = 0.6
 
-// patience is how long a call to an agent may take.
+// agentTimeout returns the timeout of a call to an agent.
 func (c *client) agentTimeout(ctx context.Context) time.Duration {
 	deadline, bounded := ctx.Deadline()
 	if !bounded {
@@ -70,11 +70,11 @@
 	return time.Duration(agentTimeFraction * float64(time.Until(deadline)))
 }
 
-// Room implements experts.Ranks.
+// CountsBandwidth implements experts.RankClient.
 func (c *client) CountsBandwidth() float64 { return c.countsBandwidth }
 
-// place returns where a rank is, or was last. Who is there tells its own rank, so
-// an address that has changed hands shows.
+// endpoints returns the current or last known endpoints of a rank. Reports contain the
+// rank, so checkIdentity detects a reused address.
 func (c *client) endpoints(rank int) (Endpoints, error) {
 	to, err := c.directory.Endpoints(c.group, rank)
 	c.mu.Lock()
@@ -89,7 +89,7 @@
 	return Endpoints{}, err
 }
 
-// check tells whether a report is that of a rank of this group.
+// checkIdentity returns an error unless a report is from the given rank of this group.
 func (c *client) checkIdentity(rank int, to Endpoints, report experts.RankReport) error {
 	if report.Group != c.group || report.Rank != rank {
 		return errors.Errorf("server %s is rank %d of group %q, not rank %d of %s", to.Server, report.Rank, report.Group, rank, c.group)
@@ -100,8 +100,8 @@
 func (c *client) isUnresponsive(rank int) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	_, silent := c.unresponsive[rank]
-	return silent
+	_, unresponsive := c.unresponsive[rank]
+	return unresponsive
 }
 
 func (c *client) markUnresponsive(rank int) {
@@ -110,18 +110,19 @@
 	c.unresponsive[rank] = false
 }
 
-// beginProbe tells whether a silent agent is to be probed now.
+// beginProbe reports whether an unresponsive agent needs a probe, and marks it as
+// being probed.
 func (c *client) beginProbe(rank int) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if probed, silent := c.unresponsive[rank]; !silent || probed {
+	if probed, unresponsive := c.unresponsive[rank]; !unresponsive || probed {
 		return false
 	}
 	c.unresponsive[rank] = true
 	return true
 }
 
-// endProbe notes whether a silent agent has answered.
+// endProbe records the outcome of a probe.
 func (c *client) endProbe(rank int, responded bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -132,8 +133,8 @@
 	c.unresponsive[rank] = false
 }
 
-// probe calls a silent agent in the background, so that it hears of its holder as
-// soon as it can, and is asked first again.
+// probe calls an unresponsive agent in the background, so that it sees the holder's
+// fencing token and is used again as soon as it responds.
 func (c *client) probe(ctx context.Context, rank int, to Endpoints, fence int64) {
 	if !c.beginProbe(rank) {
 		return
@@ -146,13 +147,13 @@
 	}()
 }
 
-// agent returns a client of the agent at a place.
+// agentClient returns an HTTP client of an agent.
 func (c *client) agentClient(to Endpoints) peerrpc.Ranks {
 	return peerrpc.NewRanksProtobufClient("http://"+to.Agent, c.http)
 }
 
-// Observe implements experts.Ranks. When the rank's agent can't be reached, its
-// engine is asked for its state alone.
+// Observe implements experts.RankClient. If the rank's agent is unreachable, it reads
+// the state from the engine, without counts.
 func (c *client) Observe(ctx context.Context, rank int, fence int64, query experts.Query) (experts.Observation, error) {
 	if rank == c.ownRank {
 		return c.local.Observe(ctx, fence, query)
@@ -166,7 +167,7 @@
 	} else {
 		observation, err := c.observeAgent(ctx, to, fence, query)
 		if err == nil && observation.Fence > fence {
-			return observation, nil // another holder's; nothing else is told
+			return observation, nil // superseded: the response has no state
 		}
 		if err == nil {
 			return observation, c.checkIdentity(rank, to, observation.Report)
@@ -209,9 +210,9 @@
 	return observation, nil
 }
 
-// Command implements experts.Ranks. When the rank's agent can't be reached, the
-// order goes straight to the engine, if that refuses old fences itself. Without
-// that, only the agent keeps a former holder's orders away.
+// SendCommand implements experts.RankClient. If the rank's agent is unreachable, the
+// command goes directly to the engine, provided that the engine checks fencing tokens.
+// Otherwise only the agent can reject commands of a former holder.
 func (c *client) SendCommand(ctx context.Context, rank int, command experts.Command, direct bool) (experts.Result, error) {
 	if rank == c.ownRank {
 		return c.local.Execute(ctx, command)
@@ -237,14 +238,14 @@
 	return experts.Result(reply.GetVerdict()), nil
 }
 
-// commandAgent gives an agent an order as a datagram, or over HTTP when that is
-// too small for the order's map.
+// commandAgent sends a command to an agent as a datagram, or over HTTP if the map
+// doesn't fit.
 func (c *client) commandAgent(ctx context.Context, rank int, to Endpoints, command experts.Command) (*peerrpc.CommandReply, error) {
 	request := encodeCommand(command)
 	request.Group, request.Rank = c.group, int32(rank)
 	if len(command.Map) > 0 {
 		if err := c.mapTransfers.Acquire(ctx, 1); err != nil {
-			return nil, errors.Wrap(err, "waiting to send a map")
+			return nil, errors.Wrap(err, "wait for a map transfer slot")
 		}
 		defer c.mapTransfers.Release(1)
 		request.Difference = c.mapDifference(command)
@@ -256,15 +257,15 @@
 			return response.GetCommand(), err
 		}
 		if len(command.Map) == 0 {
-			return nil, errors.New("the order has no map, but the agent lacks the base of one")
+			return nil, errors.New("agent reports an unknown base map for a command that has no map")
 		}
 	}
 	request.Map, request.Difference = encodeMap(command.Map), nil
 	return c.agentClient(to).Command(ctx, request)
 }
 
-// differenceOf returns how the map of a prepare order differs from that of the
-// one before it, or from the default map. It's worked out once for all ranks.
+// mapDifference returns the difference of a command's map from the previous map, or from
+// the default map. It is computed once for all ranks.
 func (c *client) mapDifference(command experts.Command) *peerrpc.MapDifference {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/ranks/codec.go
+++ b/internal/ranks/codec.go
@@ -37,10 +37,10 @@
 	}
 }
 
-// encodeOrder leaves the map out.
-func encodeCommand(o experts.Command) *peerrpc.CommandRequest {
+// encodeCommand encodes a command without its map.
+func encodeCommand(c experts.Command) *peerrpc.CommandRequest {
 	return &peerrpc.CommandRequest{
-		Fence: o.Fence, Operation: int32(o.Operation), Epoch: o.Epoch, Version: o.Version, Pass: o.Pass,
+		Fence: c.Fence, Operation: int32(c.Operation), Epoch: c.Epoch, Version: c.Version, Pass: c.Pass,
 	}
 }
 
@@ -57,8 +57,8 @@
 	return encoded
 }
 
-// decodeMap reads what encodeMap wrote; what doesn't fit together is left out,
-// and the engine refuses the rest.
+// decodeMap decodes a map. It stops at inconsistent sizes; the engine refuses an
+// incomplete map.
 func decodeMap(encoded *peerrpc.ExpertMap) [][][]int {
 	sizes, experts := encoded.GetSizes(), encoded.GetExperts()
 	ranks := int(encoded.GetRanks())
--- a/internal/ranks/difference.go
+++ b/internal/ranks/difference.go
@@ -6,19 +6,19 @@
 	"github.com/crowbridge/crowbridge/internal/peerrpc"
 )
 
-// namedMap is an expert map, the experts by set and rank, with its name: the
-// versions of two holders may be the same and mean different maps.
+// versionedMap is an expert map with its identity. The same version of different
+// holders may be different maps.
 type versionedMap struct {
 	epoch, fence, version int64
 	lists                 [][][]int
 }
 
-// sameHolder tells whether two maps come from one holder in one epoch.
+// sameHolder reports whether two maps are from the same holder and epoch.
 func (m versionedMap) sameHolder(other versionedMap) bool {
 	return m.epoch == other.epoch && m.fence == other.fence
 }
 
-// defaultMap is the map of a new epoch: experts in turn.
+// defaultMap returns the initial map of an epoch: experts assigned round robin.
 func defaultMap(sets, ranks, experts int) [][][]int {
 	lists := make([][][]int, sets)
 	for set := range lists {
@@ -30,17 +30,17 @@
 	return lists
 }
 
-// maxLists bounds the lists and the experts of a map that is worked out from a
-// message: four times those of 256 ranks with 256 experts in 60 sets.
+// maxMapEntries bounds the lists and the experts of a map that is decoded from a
+// difference: four times those of 256 ranks with 256 experts in 60 sets.
 const maxMapEntries = 1 << 16
 
-// plausible tells whether a difference has the shape of a map.
+// validDifference reports whether a difference has the dimensions of a map.
 func validDifference(d *peerrpc.MapDifference) bool {
 	sets, ranks, experts := int64(d.GetSets()), int64(d.GetRanks()), int64(d.GetExperts())
 	return sets > 0 && ranks > 0 && experts > 0 && sets*ranks <= maxMapEntries && sets*experts <= maxMapEntries
 }
 
-// expertsOf is the number of experts in a map's first set.
+// expertCount returns the number of experts in the first set of a map.
 func expertCount(lists [][][]int) int {
 	highest := -1
 	for _, rank := range lists[0] {
@@ -51,7 +51,7 @@
 	return highest + 1
 }
 
-// difference says how a map differs from a base of the same shape.
+// encodeDifference returns the difference of a map from a base with the same dimensions.
 func encodeDifference(base versionedMap, lists [][][]int) *peerrpc.MapDifference {
 	sets, ranks := len(lists), len(lists[0])
 	d := &peerrpc.MapDifference{Base: base.version, Sets: int32(sets), Ranks: int32(ranks), Experts: int32(expertCount(lists))}
@@ -69,8 +69,8 @@
 	return d
 }
 
-// apply returns the map that differs so from a base, or false when the two
-// don't fit together. The base stays as it is.
+// applyDifference returns the map with a difference from base, or false if they don't
+// fit together. It doesn't modify base.
 func applyDifference(base [][][]int, d *peerrpc.MapDifference) ([][][]int, bool) {
 	sets, ranks := int(d.GetSets()), int(d.GetRanks())
 	if len(base) != sets {
--- a/internal/ranks/leader.go
+++ b/internal/ranks/leader.go
@@ -1,6 +1,6 @@
-// Package ranks connects the agents of a group's ranks: their calls to each
-// other, and the claim of the group's lease by one of them, which steers the
-// group's expert maps while it has it.
+// Package ranks connects the agents of a group's ranks. It implements the calls
+// between agents and the claim of the group's lease. The agent that holds the lease
+// manages the group's expert map.
 package ranks
 
 import (
@@ -16,57 +16,56 @@
 	"golang.org/x/sync/semaphore"
 )
 
-// Place is where a rank of a group is reached.
+// Endpoints are the addresses of a rank.
 type Endpoints struct {
-	// Server names the backend server that is the rank.
+	// Server is the name of the rank's backend server.
 	Server string
-	// Agent and Engine are the IP:port of the agent's rank calls and of the engine itself.
+	// Agent and Engine are IP:port addresses, Agent's for rank calls.
 	Agent, Engine string
-	// Fences tells that the engine refuses orders with old fencing numbers.
+	// ChecksFence reports whether the engine refuses commands with old fencing tokens.
 	ChecksFence bool
 }
 
-// Terms are what a holder goes by in a group.
+// Parameters are the settings of a group for its holder.
 type Parameters struct {
 	// Engine is the published cost model of the group's engines.
 	Engine *fleet.EngineModel
-	// Pause is the longest pause between events that callers take as prompt; 0 when
-	// that isn't known.
+	// MaxEventGap is the longest gap between events of a stream that callers accept
+	// as prompt, or 0 if unknown.
 	MaxEventGap time.Duration
 	Policy      experts.Policy
 }
 
-// Directory knows the groups and where their ranks are. Its answers may change
-// at any time.
+// Directory looks up groups and their ranks. Its results may change at any time.
 type Directory interface {
 	Endpoints(group string, rank int) (Endpoints, error)
-	// Terms returns false while the group isn't known, or has no expert maps.
+	// Parameters returns false if the group is unknown or has no expert maps.
 	Parameters(group string) (Parameters, bool)
 }
 
-// Options are what a leader needs to know of its own daemon.
+// Options configure a Leader.
 type Options struct {
-	// Daemon is the name under which it claims leases.
+	// Daemon is the name that is recorded as the holder of leases.
 	Daemon string
-	// IP is the address from which it calls agents, Key the secret that it shares with
-	// them; empty for none.
+	// IP is the local address for calls to agents. Key is the secret shared with them,
+	// or empty.
 	IP, Key string
-	// Room is how many bytes of counts a second may come over the VM's link.
+	// CountsBandwidth is how many bytes of counts may be received per second.
 	CountsBandwidth float64
-	// Trail is nil when nobody wants to know.
+	// AuditTrail may be nil.
 	AuditTrail AuditTrail
 }
 
-// Trail is told what a leader does. It must not block.
+// AuditTrail records the actions of a Leader. Its methods must not block.
 type AuditTrail interface {
-	// Claimed tells of a lease.
+	// LeaseClaimed records a claimed lease.
 	LeaseClaimed(group string, fence int64)
-	// Changed tells of a new map in use.
+	// MapChanged records a new map in use.
 	MapChanged(group string, change experts.MapChange)
 }
 
-// Leader claims the lease of the group of one agent's engine when no holder
-// calls, and steers the group while it has the lease.
+// Leader claims the lease of the engine's group when the holder stops calling, and
+// manages the group's expert map while it holds the lease.
 type Leader struct {
 	options   Options
 	agent     *experts.Agent
@@ -77,26 +76,26 @@
 	log       *logrus.Entry
 }
 
-// NewLeader returns the leader beside an agent. The HTTP client reaches the
+// NewLeader returns the leader beside an agent. The HTTP client is used for calls to
 // other agents.
 func NewLeader(o Options, agent *experts.Agent, engine experts.Engine, d Directory, store experts.LeaseStore, c *http.Client, log *logrus.Entry) *Leader {
 	return &Leader{options: o, agent: agent, engine: engine, directory: d, store: store, http: c, log: log}
 }
 
 const (
-	// silencePace is how often an agent looks for what it needs before it can claim.
+	// pollInterval is the time between checks whether the lease may be claimed.
 	pollInterval = 50 * time.Millisecond
-	// silenceLook bounds the wait until a holder may have been silent for long enough:
-	// the engine's rank, or its group, may change meanwhile.
+	// maxPollInterval bounds the wait for the claim delay: the engine's rank or group
+	// may change meanwhile.
 	maxPollInterval = 250 * time.Millisecond
 	// claimTimeout bounds a claim of the lease.
 	claimTimeout = 1500 * time.Millisecond
-	// claimPause is kept after a claim that failed.
+	// claimRetryDelay is the wait after a failed claim.
 	claimRetryDelay = 500 * time.Millisecond
 )
 
-// Run claims and steers until the context ends. Somebody else has to keep the
-// agent's report of its engine fresh.
+// Run claims the lease and manages the map until the context ends. The caller must
+// keep the agent's report of its engine fresh.
 func (l *Leader) Run(ctx context.Context) {
 	l.loadFence(ctx)
 	for ctx.Err() == nil {
@@ -113,31 +112,29 @@
 	}
 }
 
-// learnFence reads the lease's history, so that an agent that started again takes no
-// orders of a former holder, and can claim without waiting twice. Where an earlier
-// process of this daemon was the holder, it claims at once: when all daemons are killed
-// and start again, that and the pace of members at their start bring the first map
-// into use 0.5 to 0.9 s sooner.
+// loadFence reads the lease history, so that a restarted agent rejects commands of
+// former holders and doesn't fail its first claim. If an earlier process of this daemon
+// was the holder, the lease is claimed without delay.
 func (l *Leader) loadFence(ctx context.Context) {
 	for ctx.Err() == nil && l.agent.LastReport().Size == 0 {
 		wait.For(ctx, pollInterval)
 	}
 	ctx, cancel := context.WithTimeout(ctx, claimTimeout)
 	defer cancel()
-	newest, err := experts.CurrentLease(ctx, l.store, l.agent.LastReport().Group)
+	current, err := experts.CurrentLease(ctx, l.store, l.agent.LastReport().Group)
 	if err != nil {
-		l.log.WithError(err).Info("the lease's history wasn't read: it will be when the lease is claimed")
+		l.log.WithError(err).Info("lease history not read, claim will read it")
 		return
 	}
-	if newest.Fence > 0 && newest.Holder == l.options.Daemon {
-		l.log.WithField("fence", newest.Fence).Info("an earlier process of this daemon had the lease: it is claimed at once")
-		l.agent.MarkHolderGone(newest.Fence)
+	if current.Fence > 0 && current.Holder == l.options.Daemon {
+		l.log.WithField("fence", current.Fence).Info("lease held by an earlier process of this daemon, claiming without delay")
+		l.agent.MarkHolderGone(current.Fence)
 		return
 	}
-	l.agent.ObserveFence(newest.Fence)
+	l.agent.ObserveFence(current.Fence)
 }
 
-// claim tries to get the lease and steers the group while it has it.
+// claim claims the lease and manages the map while it holds the lease.
 func (l *Leader) claim(ctx context.Context, report experts.RankReport, parameters Parameters, knownFence int64) {
 	claiming, cancel := context.WithTimeout(ctx, claimTimeout)
 	claimed, err := experts.ClaimLease(claiming, l.store,
@@ -148,30 +145,30 @@
 		"unreadable": claimed.Unreadable,
 	})
 	if err != nil {
-		log.WithError(err).Info("lease not claimed: the store gave no answer")
+		log.WithError(err).Info("lease not claimed: store unavailable")
 		wait.For(ctx, claimRetryDelay)
 		return
 	}
 	l.agent.ObserveFence(claimed.Newest)
 	if claimed.Fence == 0 {
-		log.Info("lease not claimed: another daemon has it")
+		log.Info("lease not claimed: held by another daemon")
 		return
 	}
 	log.Info("lease claimed")
 	l.lead(ctx, report, parameters, claimed)
 }
 
-// steer is the holder until another has a higher fence.
+// lead runs a holder until it is superseded.
 func (l *Leader) lead(ctx context.Context, report experts.RankReport, parameters Parameters, claimed experts.ClaimResult) {
-	link, err := newUDPClient(l.options.IP, authenticator{key: []byte(l.options.Key)}, rand.Uint64())
+	udp, err := newUDPClient(l.options.IP, authenticator{key: []byte(l.options.Key)}, rand.Uint64())
 	if err != nil {
-		l.log.WithError(err).Error("the group can't be steered from here")
+		l.log.WithError(err).Error("cannot manage the expert map: no socket for rank calls")
 		wait.For(ctx, claimRetryDelay)
 		return
 	}
-	defer link.close()
-	ranks := &client{
-		group: report.Group, directory: l.directory, udp: link, http: l.http,
+	defer udp.close()
+	rankClient := &client{
+		group: report.Group, directory: l.directory, udp: udp, http: l.http,
 		local: l.agent, ownRank: report.Rank, engine: l.engine, countsBandwidth: l.options.CountsBandwidth, unresponsive: map[int]bool{}, lastEndpoints: map[int]Endpoints{}, mapTransfers: semaphore.NewWeighted(maxMapTransfers),
 	}
 	lease := experts.Lease{ClaimResult: claimed, Size: report.Size, OwnRank: report.Rank, Engine: parameters.Engine, MaxEventGap: parameters.MaxEventGap}
@@ -185,5 +182,5 @@
 		}
 		return parameters.Policy
 	}
-	experts.NewHolder(ranks, lease, policy, time.Now, l.log).Run(ctx)
+	experts.NewHolder(rankClient, lease, policy, time.Now, l.log).Run(ctx)
 }
--- a/internal/ranks/ranks_test.go
+++ b/internal/ranks/ranks_test.go
@@ -32,7 +32,7 @@
 	return logrus.NewEntry(logger)
 }
 
-// fakeEngine accepts every order and remembers it.
+// fakeEngine accepts and records every command.
 type fakeEngine struct {
 	mu       sync.Mutex
 	commands []experts.Command
@@ -67,12 +67,11 @@
 	return append([]experts.Command(nil), e.commands...)
 }
 
-// portTries bounds how many ports listenBoth looks at.
+// portTries bounds the attempts of listenBoth.
 const portTries = 100
 
-// listenBoth listens at one loopback port for datagrams and for connections, as an
-// agent does. A port that is free for the one may be taken for the other, by a
-// connection of any process.
+// listenBoth listens on the same loopback port for UDP and TCP, as an agent does. A
+// port that is free for one may be in use for the other.
 func listenBoth() (net.PacketConn, net.Listener) {
 	for range portTries {
 		listener, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -84,11 +83,11 @@
 		Expect(err).To(MatchError(syscall.EADDRINUSE))
 		Expect(listener.Close()).To(Succeed())
 	}
-	Fail("no port is free for both datagrams and connections")
+	Fail("no port is free for both UDP and TCP")
 	return nil, nil
 }
 
-// newService returns the service of an agent that has looked at its engine.
+// newService returns the service of an agent that has read its engine's state.
 func newService(engine *fakeEngine) *Service {
 	agent := experts.NewAgent(engine, "", time.Now, quietLog())
 	_, err := agent.RefreshReport(context.Background())
@@ -113,14 +112,14 @@
 	return c.PacketConn.WriteTo(data, to)
 }
 
-// place is where the only other rank of the specs is.
+// fixedDirectory returns the endpoints of the only other rank.
 type fixedDirectory struct{ endpoints Endpoints }
 
-func (p fixedDirectory) Endpoints(string, int) (Endpoints, error) {
-	if p.endpoints.Server == "" {
+func (d fixedDirectory) Endpoints(string, int) (Endpoints, error) {
+	if d.endpoints.Server == "" {
 		return Endpoints{}, errors.New("not registered")
 	}
-	return p.endpoints, nil
+	return d.endpoints, nil
 }
 
 func (p fixedDirectory) Parameters(string) (Parameters, bool) { return Parameters{}, false }
@@ -133,8 +132,8 @@
 	var httpCalls int
 	ctx := context.Background()
 
-	// connect returns a holder's client of an agent, whose link has a key.
-	connect := func(linkKey string) *client {
+	// connect starts an agent and returns a holder's client of it with the given key.
+	connect := func(clientKey string) *client {
 		conn, listener := listenBoth()
 		responses = &lossyConn{PacketConn: conn}
 		service := newService(engine)
@@ -149,16 +148,16 @@
 		listening, stop := context.WithCancel(ctx)
 		ended := make(chan error, 1)
 		go func() { ended <- Serve(listening, responses, service, key, quietLog()) }()
-		l, err := newUDPClient("127.0.0.1", authenticator{key: []byte(linkKey)}, 100)
+		udp, err := newUDPClient("127.0.0.1", authenticator{key: []byte(clientKey)}, 100)
 		Expect(err).NotTo(HaveOccurred())
 		DeferCleanup(func() {
 			httpServer.Close()
-			l.close()
+			udp.close()
 			stop()
 			Expect(<-ended).NotTo(HaveOccurred())
 		})
 		return &client{
-			group: "g", udp: l, http: http.DefaultClient, ownRank: 0, engine: engine, unresponsive: map[int]bool{}, lastEndpoints: map[int]Endpoints{}, mapTransfers: semaphore.NewWeighted(maxMapTransfers),
+			group: "g", udp: udp, http: http.DefaultClient, ownRank: 0, engine: engine, unresponsive: map[int]bool{}, lastEndpoints: map[int]Endpoints{}, mapTransfers: semaphore.NewWeighted(maxMapTransfers),
 			directory: fixedDirectory{Endpoints{Server: "s", Agent: conn.LocalAddr().String()}},
 		}
 	}
@@ -171,7 +170,7 @@
 		return ctx
 	}
 
-	It("tell a rank's state and the part of its counts that is asked for", func() {
+	It("return the state of a rank and the queried range of its counts", func() {
 		c := connect(key)
 		_, err := c.Observe(bounded(5*time.Second), 1, 4, experts.Query{})
 		Expect(err).NotTo(HaveOccurred())
@@ -183,7 +182,7 @@
 		Expect(httpCalls).To(BeZero())
 	})
 
-	It("are sent again when a datagram is lost", func() {
+	It("are resent when a datagram is lost", func() {
 		c := connect(key)
 		responses.mu.Lock()
 		responses.drop = 2
@@ -194,14 +193,14 @@
 		Expect(len(engine.executed())).To(BeNumerically(">=", 3))
 	})
 
-	It("aren't taken from who doesn't know the key", func() {
+	It("are rejected without the right key", func() {
 		c := connect("another")
 		_, err := c.SendCommand(bounded(200*time.Millisecond), 1, experts.Command{Operation: experts.Hold, Pass: 3, Fence: 1}, false)
 		Expect(err).To(HaveOccurred())
 		Expect(engine.executed()).To(BeEmpty())
 	})
 
-	It("reach an agent again as soon as it can be reached, without waiting for it meanwhile", func() {
+	It("use an unresponsive agent's engine without waiting, and the agent again once it responds", func() {
 		c := connect(key)
 		reachable := c.directory
 		c.directory = fixedDirectory{Endpoints{Server: "s", Agent: "127.0.0.1:1", Engine: "127.0.0.1:2", ChecksFence: true}}
@@ -210,17 +209,17 @@
 			Expect(err).NotTo(HaveOccurred())
 			return observation
 		}
-		Expect(observe().Report.Pass).To(Equal(int64(9)), "as the engine tells")
+		Expect(observe().Report.Pass).To(Equal(int64(9)), "reported by the engine")
 		Expect(c.isUnresponsive(1)).To(BeTrue())
 		c.directory = reachable
 		Eventually(func() bool {
 			observe()
 			return c.isUnresponsive(1)
 		}, "10s").Should(BeFalse())
-		Expect(observe().Counts.Chosen).NotTo(BeEmpty(), "as only the agent tells")
+		Expect(observe().Counts.Chosen).NotTo(BeEmpty(), "only the agent returns counts")
 	})
 
-	It("go where a rank was last while it isn't registered", func() {
+	It("go to the last known endpoints of a rank that isn't registered", func() {
 		c := connect(key)
 		_, err := c.Observe(bounded(5*time.Second), 1, 4, experts.Query{})
 		Expect(err).NotTo(HaveOccurred())
@@ -232,7 +231,7 @@
 		Expect(err).To(MatchError("not registered"))
 	})
 
-	It("are taken by the rank that they are for only", func() {
+	It("are rejected by any other rank", func() {
 		c := connect(key)
 		_, err := c.Observe(bounded(5*time.Second), 2, 4, experts.Query{})
 		Expect(err).To(MatchError(ContainSubstring("is rank 1")))
@@ -242,7 +241,7 @@
 		Expect(engine.executed()).To(BeEmpty())
 	})
 
-	It("go to no engine directly that takes orders with old fencing numbers", func() {
+	It("bypass the agent only if the engine checks fencing tokens", func() {
 		c := connect(key)
 		c.directory = fixedDirectory{Endpoints{Server: "s", Agent: "127.0.0.1:1", Engine: "127.0.0.1:2"}}
 		_, err := c.SendCommand(bounded(200*time.Millisecond), 1, experts.Command{Operation: experts.Hold, Pass: 3, Fence: 1}, true)
@@ -262,20 +261,20 @@
 		Expect(commands[len(commands)-1].Map).To(Equal(lists))
 	}
 
-	It("tell maps as differences, and whole to an agent that lacks the base", func() {
+	It("send maps as differences, but in full to an agent without the base", func() {
 		c := connect(key)
 		prepare(c, 1, [][][]int{{{0, 2, 1}, {1, 3}}})
 		prepare(c, 2, [][][]int{{{0, 2}, {1, 3, 0}}})
 		prepare(c, 2, [][][]int{{{0, 2}, {1, 3, 0}}})
 		Expect(httpCalls).To(BeZero())
-		// This agent has only seen version 2.
+		// This agent has received version 2 only.
 		behind := connect(key)
 		behind.lastMap, behind.lastDifference = c.lastMap, c.lastDifference
 		prepare(behind, 3, [][][]int{{{0, 2, 3}, {1, 3}}})
 		Expect(httpCalls).To(Equal(1))
 	})
 
-	It("end with an error when an order without a map is answered as if it had one", func() {
+	It("fail if the response to a command without a map reports an unknown base", func() {
 		conn, err := net.ListenPacket("udp4", "127.0.0.1:0")
 		Expect(err).NotTo(HaveOccurred())
 		DeferCleanup(conn.Close)
@@ -298,7 +297,7 @@
 		Expect(err).To(MatchError(ContainSubstring("no map")))
 	})
 
-	It("carry a map over HTTP when it differs too much for a datagram", func() {
+	It("send a map over HTTP if its difference doesn't fit into a datagram", func() {
 		c := connect(key)
 		lists := [][][]int{make([][]int, 2)}
 		for expert := range 1500 {
@@ -310,7 +309,7 @@
 })
 
 var _ = Describe("an agent's service", func() {
-	It("gives no order whose map it can't work out", func() {
+	It("rejects a command with an invalid map difference", func() {
 		engine := &fakeEngine{}
 		service := newService(engine)
 		for _, d := range []*peerrpc.MapDifference{
@@ -328,10 +327,10 @@
 		Expect(engine.executed()).To(BeEmpty())
 	})
 
-	It("takes no map of another holder for a base", func() {
+	It("doesn't use a map of another holder as base", func() {
 		service := newService(&fakeEngine{})
-		whole := encodeMap([][][]int{{{0, 1}, {2, 3}}})
-		_, err := service.Command(context.Background(), &peerrpc.CommandRequest{Group: "g", Rank: 1, Fence: 1, Epoch: 1, Version: 4, Map: whole})
+		fullMap := encodeMap([][][]int{{{0, 1}, {2, 3}}})
+		_, err := service.Command(context.Background(), &peerrpc.CommandRequest{Group: "g", Rank: 1, Fence: 1, Epoch: 1, Version: 4, Map: fullMap})
 		Expect(err).NotTo(HaveOccurred())
 		next := &peerrpc.CommandRequest{Group: "g", Rank: 1, Fence: 2, Epoch: 1, Version: 5, Difference: &peerrpc.MapDifference{Base: 4, Sets: 1, Ranks: 2, Experts: 4}}
 		reply, err := service.Command(context.Background(), next)
@@ -340,8 +339,8 @@
 	})
 })
 
-// FuzzDifference: whatever difference comes, applying it neither panics nor
-// changes the base, and what we write ourselves is read back.
+// FuzzDifference checks that applying any difference neither panics nor modifies the
+// base, and that differences survive a round trip.
 func FuzzDifference(f *testing.F) {
 	data, err := proto.Marshal(encodeDifference(versionedMap{lists: defaultMap(2, 3, 6)}, [][][]int{{{1, 0}, {2}, {3, 4, 5}}, {{0}, {1, 4}, {2, 3, 5}}}))
 	if err != nil {
@@ -352,7 +351,7 @@
 	f.Fuzz(func(t *testing.T, data []byte) {
 		var d peerrpc.MapDifference
 		if proto.Unmarshal(data, &d) != nil {
-			return // not a message
+			return // invalid message
 		}
 		base := defaultMap(2, 3, 6)
 		lists, ok := applyDifference(base, &d)
@@ -361,7 +360,7 @@
 		}
 		again, ok := applyDifference(base, encodeDifference(versionedMap{lists: base}, lists))
 		if !ok || !equalMaps(again, lists) || !equalMaps(base, defaultMap(2, 3, 6)) {
-			t.Fatalf("%v became %v", lists, again)
+			t.Fatalf("%v became %v after a round trip", lists, again)
 		}
 	})
 }
--- a/internal/ranks/service.go
+++ b/internal/ranks/service.go
@@ -9,12 +9,12 @@
 	"github.com/crowbridge/crowbridge/internal/peerrpc"
 )
 
-// Service answers holders for one agent. It implements peerrpc.Ranks.
+// Service serves rank calls for one agent. It implements peerrpc.Ranks.
 type Service struct {
 	agent *experts.Agent
 
-	mu sync.Mutex // a leaf
-	// known is the newest map that a holder has told, the base of the next difference.
+	mu sync.Mutex // leaf lock
+	// baseMap is the newest map received, the base of the next difference.
 	baseMap versionedMap
 }
 
@@ -45,7 +45,7 @@
 	if own := s.agent.LastReport(); own.Group != r.GetGroup() || own.Rank != int(r.GetRank()) {
 		return &peerrpc.CommandReply{
 			Verdict: int32(experts.Refused),
-			Detail:  fmt.Sprintf("meant for rank %d of group %q; this is rank %d of %q", r.GetRank(), r.GetGroup(), own.Rank, own.Group),
+			Detail:  fmt.Sprintf("command is for rank %d of group %q, but this is rank %d of group %q", r.GetRank(), r.GetGroup(), own.Rank, own.Group),
 		}, nil
 	}
 	command, known := s.decodeCommand(r)
@@ -60,8 +60,8 @@
 	return reply, nil
 }
 
-// decodeOrder reads an order. It returns false when its map is the difference to
-// one that isn't known here.
+// decodeCommand decodes a command. It returns false if the map is a difference from
+// an unknown base.
 func (s *Service) decodeCommand(r *peerrpc.CommandRequest) (experts.Command, bool) {
 	command := experts.Command{
 		Operation: experts.Operation(r.GetOperation()), Epoch: r.GetEpoch(), Version: r.GetVersion(),
@@ -82,14 +82,14 @@
 	return command, true
 }
 
-// mapOf returns the map that an order tells under a name. The caller holds mu.
+// resolveMap returns the map of a request, to be identified by target. The caller holds mu.
 func (s *Service) resolveMap(target versionedMap, r *peerrpc.CommandRequest) ([][][]int, bool) {
 	d := r.GetDifference()
 	switch {
 	case r.GetMap() != nil:
 		return decodeMap(r.GetMap()), true
 	case s.baseMap.sameHolder(target) && s.baseMap.version == target.version:
-		return s.baseMap.lists, true // the same order again
+		return s.baseMap.lists, true // repeated command
 	case !validDifference(d):
 		return nil, false
 	case d.GetBase() == 0:
--- a/internal/ranks/udpclient.go
+++ b/internal/ranks/udpclient.go
@@ -13,103 +13,103 @@
 )
 
 const (
-	// maxDatagram bounds a message, in bytes: with its seal and the headers it fits
-	// into an Ethernet frame.
+	// maxDatagram bounds a message in bytes, so that it fits into an Ethernet frame with
+	// its MAC and headers.
 	maxDatagram = 1400
-	// resendAfter is how long a call waits for its answer before it's sent again: some
-	// round trips between zones and an order to the engine.
+	// resendAfter is how long a call waits for a response before it is sent again: several
+	// round trips between zones and a command to the engine.
 	resendAfter = 40 * time.Millisecond
 )
 
-// link carries a holder's calls as datagrams. A lost one is sent again; agents
-// may get a call twice, which changes nothing. Safe for concurrent use.
+// udpClient sends a holder's calls as datagrams. It resends calls without response;
+// calls are idempotent. Safe for concurrent use.
 type udpClient struct {
 	conn net.PacketConn
 	auth authenticator
 
-	mu      sync.Mutex // a leaf
+	mu      sync.Mutex // leaf lock
 	next    uint64
 	pending map[uint64]chan *peerrpc.RankAnswer
 }
 
-// newLink opens a socket at an IP address. first begins the numbers of calls:
-// late answers to an earlier link must not match.
+// newUDPClient opens a socket at an IP address. Call IDs start after first, which
+// should be random, so that late responses to an earlier client don't match.
 func newUDPClient(ip string, auth authenticator, first uint64) (*udpClient, error) {
 	conn, err := net.ListenPacket("udp4", net.JoinHostPort(ip, "0"))
 	if err != nil {
-		return nil, errors.Wrap(err, "rank calls")
+		return nil, errors.Wrap(err, "open socket for rank calls")
 	}
-	l := &udpClient{conn: conn, auth: auth, next: first, pending: map[uint64]chan *peerrpc.RankAnswer{}}
-	go l.receive()
-	return l, nil
+	c := &udpClient{conn: conn, auth: auth, next: first, pending: map[uint64]chan *peerrpc.RankAnswer{}}
+	go c.receive()
+	return c, nil
 }
 
-// close ends the link. Calls under way end with their contexts.
-func (l *udpClient) close() { _ = l.conn.Close() }
+// close closes the socket. Calls in progress end with their contexts.
+func (c *udpClient) close() { _ = c.conn.Close() }
 
-// receive hands answers to the calls that wait for them, until close.
-func (l *udpClient) receive() {
+// receive delivers responses to pending calls until close.
+func (c *udpClient) receive() {
 	buffer := make([]byte, maxSignedDatagram)
 	for {
-		n, _, err := l.conn.ReadFrom(buffer)
+		n, _, err := c.conn.ReadFrom(buffer)
 		if err != nil {
 			return
 		}
 		var response peerrpc.RankAnswer
-		data, ok := l.auth.verify(buffer[:n])
+		data, ok := c.auth.verify(buffer[:n])
 		if !ok || proto.Unmarshal(data, &response) != nil {
-			continue // not from an agent of this deployment
+			continue // invalid MAC or encoding
 		}
-		l.mu.Lock()
-		pending := l.pending[response.GetId()]
-		delete(l.pending, response.GetId())
-		l.mu.Unlock()
+		c.mu.Lock()
+		pending := c.pending[response.GetId()]
+		delete(c.pending, response.GetId())
+		c.mu.Unlock()
 		if pending != nil {
 			pending <- &response
 		}
 	}
 }
 
-// call sends a call until it's answered or the context ends. It sets the call's ID.
-func (l *udpClient) call(ctx context.Context, address string, call *peerrpc.RankCall) (*peerrpc.RankAnswer, error) {
+// call sends a call until there is a response or the context ends. It sets the call's ID.
+func (c *udpClient) call(ctx context.Context, address string, call *peerrpc.RankCall) (*peerrpc.RankAnswer, error) {
 	to, err := netip.ParseAddrPort(address)
 	if err != nil {
-		return nil, errors.Wrap(err, "rank calls")
+		return nil, errors.Wrap(err, "agent address")
 	}
 	responded := make(chan *peerrpc.RankAnswer, 1)
-	call.Id = l.register(responded)
-	defer l.unregister(call.Id)
+	call.Id = c.register(responded)
+	defer c.unregister(call.Id)
 	data, err := proto.Marshal(call)
 	if err != nil {
-		return nil, errors.Wrap(err, "rank calls")
+		return nil, errors.Wrap(err, "encode rank call")
 	}
-	data = l.auth.sign(data)
+	data = c.auth.sign(data)
 	resend := time.NewTicker(resendAfter)
 	defer resend.Stop()
 	for {
-		if _, err := l.conn.WriteTo(data, net.UDPAddrFromAddrPort(to)); err != nil {
-			return nil, errors.Wrapf(err, "rank calls to %s", address)
+		if _, err := c.conn.WriteTo(data, net.UDPAddrFromAddrPort(to)); err != nil {
+			return nil, errors.Wrapf(err, "rank call to %s", address)
 		}
 		select {
 		case response := <-responded:
 			return response, nil
 		case <-resend.C:
 		case <-ctx.Done():
-			return nil, errors.Wrapf(ctx.Err(), "rank calls to %s", address)
+			return nil, errors.Wrapf(ctx.Err(), "rank call to %s", address)
 		}
 	}
 }
 
-func (l *udpClient) register(responded chan *peerrpc.RankAnswer) uint64 {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.next++
-	l.pending[l.next] = responded
-	return l.next
+func (c *udpClient) register(responded chan *peerrpc.RankAnswer) uint64 {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.next++
+	c.pending[c.next] = responded
+	return c.next
 }
 
-func (l *udpClient) unregister(id uint64) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	delete(l.pending, id)
+func (c *udpClient) unregister(id uint64) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	delete(c.pending, id)
 }
--- a/internal/ranks/udpserver.go
+++ b/internal/ranks/udpserver.go
@@ -14,14 +14,13 @@
 )
 
 const (
-	// callsAtOnce bounds the calls that an agent works on.
+	// maxConcurrentCalls bounds the calls that are handled at the same time.
 	maxConcurrentCalls = 16
-	// orderTimeout bounds the work on one call: an engine that doesn't answer an
-	// order may carry it out later, and the holder asks again.
+	// callTimeout bounds the handling of a call. The holder repeats calls without response.
 	callTimeout = 200 * time.Millisecond
 )
 
-// listener answers calls that come as datagrams.
+// udpServer handles calls that arrive as datagrams.
 type udpServer struct {
 	conn    net.PacketConn
 	service *Service
@@ -29,27 +28,27 @@
 	log     *logrus.Entry
 	slots   *semaphore.Weighted
 
-	mu sync.Mutex // a leaf
-	// busy are the calls under way: the same call again needs no second answer.
+	mu sync.Mutex // leaf lock
+	// inProgress has the calls being handled, to drop repetitions.
 	inProgress map[callKey]bool
 }
 
-// callName names a call: IDs are the caller's own.
+// callKey identifies a call. IDs are unique per sender only.
 type callKey struct {
 	sender string
 	id     uint64
 }
 
-// Listen answers holders' datagrams until the context ends. Both sides need the
-// same key; an empty one leaves datagrams unsealed.
+// Serve handles holders' datagrams until the context ends. Both sides need the same
+// key; with an empty key, datagrams aren't authenticated.
 func Serve(ctx context.Context, conn net.PacketConn, service *Service, key string, log *logrus.Entry) error {
-	l := &udpServer{
+	s := &udpServer{
 		conn: conn, service: service, auth: authenticator{key: []byte(key)}, log: log,
 		slots: semaphore.NewWeighted(maxConcurrentCalls), inProgress: map[callKey]bool{},
 	}
-	stop := context.AfterFunc(ctx, func() { _ = conn.Close() }) // ends the read
+	stop := context.AfterFunc(ctx, func() { _ = conn.Close() }) // unblocks ReadFrom
 	defer stop()
-	defer func() { _ = conn.Close() }() // a read that brought something as the context ended stops the other
+	defer func() { _ = conn.Close() }() // in case stop prevents the AfterFunc
 	buffer := make([]byte, maxSignedDatagram)
 	for {
 		n, from, err := conn.ReadFrom(buffer)
@@ -57,71 +56,71 @@
 			return nil
 		}
 		if err != nil {
-			return errors.Wrap(err, "rank calls")
+			return errors.Wrap(err, "receive rank calls")
 		}
 		var call peerrpc.RankCall
-		data, ok := l.auth.verify(buffer[:n])
+		data, ok := s.auth.verify(buffer[:n])
 		if !ok || proto.Unmarshal(data, &call) != nil {
-			log.WithField("from", from.String()).Debug("rank call not understood")
+			log.WithField("from", from.String()).Debug("invalid rank call dropped")
 			continue
 		}
-		l.dispatch(ctx, &call, from)
+		s.dispatch(ctx, &call, from)
 	}
 }
 
-// take works on a call in the background, unless it's under way or too many are:
-// its caller sends it again.
-func (l *udpServer) dispatch(ctx context.Context, call *peerrpc.RankCall, from net.Addr) {
+// dispatch handles a call in the background. It drops the call if it is in progress or
+// if too many are; the sender repeats it.
+func (s *udpServer) dispatch(ctx context.Context, call *peerrpc.RankCall, from net.Addr) {
 	key := callKey{sender: from.String(), id: call.GetId()}
-	if !l.tryBegin(key) {
+	if !s.tryBegin(key) {
 		return
 	}
 	go func() {
-		defer l.end(key)
+		defer s.end(key)
 		ctx, cancel := context.WithTimeout(ctx, callTimeout)
 		defer cancel()
-		l.respond(ctx, call, from)
+		s.respond(ctx, call, from)
 	}()
 }
 
-func (l *udpServer) tryBegin(key callKey) bool {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if l.inProgress[key] || !l.slots.TryAcquire(1) {
+func (s *udpServer) tryBegin(key callKey) bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.inProgress[key] || !s.slots.TryAcquire(1) {
 		return false
 	}
-	l.inProgress[key] = true
+	s.inProgress[key] = true
 	return true
 }
 
-func (l *udpServer) end(key callKey) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	delete(l.inProgress, key)
-	l.slots.Release(1)
+func (s *udpServer) end(key callKey) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	delete(s.inProgress, key)
+	s.slots.Release(1)
 }
 
-func (l *udpServer) respond(ctx context.Context, call *peerrpc.RankCall, from net.Addr) {
+func (s *udpServer) respond(ctx context.Context, call *peerrpc.RankCall, from net.Addr) {
 	response := &peerrpc.RankAnswer{Id: call.GetId()}
 	var err error
 	switch {
 	case call.GetObserve() != nil:
-		response.Observe, err = l.service.Observe(ctx, call.GetObserve())
+		response.Observe, err = s.service.Observe(ctx, call.GetObserve())
 	case call.GetCommand() != nil:
-		response.Command, err = l.service.Command(ctx, call.GetCommand())
+		response.Command, err = s.service.Command(ctx, call.GetCommand())
 	}
 	if err != nil {
-		l.log.WithError(err).Warn("rank call failed")
+		s.log.WithError(err).Warn("rank call failed")
 		return
 	}
 	if proto.Size(response) > maxDatagram && response.GetObserve() != nil {
-		response.Observe.Chosen = nil // the state matters more, and the next counts come soon
+		response.Observe.Chosen = nil // drop the counts if the response is too large; the state has priority
 	}
 	data, err := proto.Marshal(response)
 	if err == nil {
-		_, err = l.conn.WriteTo(l.auth.sign(data), from)
+		_, err = s.conn.WriteTo(s.auth.sign(data), from)
 	}
 	if err != nil {
-		l.log.WithError(err).Debug("rank call not answered")
+		s.log.WithError(err).Debug("rank call response not sent")
 	}
 }
--- a/internal/rebalance/baseline.go
+++ b/internal/rebalance/baseline.go
@@ -2,10 +2,9 @@
 
 import "slices"
 
-// Repack builds a placement from nothing, greedily: replicas go to whichever
-// expert has the most work per replica, then the heaviest replicas are placed
-// first, each at the least busy rank that has room. It is the baseline that
-// moves experts at every interval without regard for the cost.
+// Repack builds a greedy placement from scratch: it gives replicas to the experts with
+// the most work per replica, then places the heaviest replicas first, each at the least
+// busy rank with a free slot. It is the baseline that ignores the cost of moves.
 func Repack(shape Shape, popularity Popularity, speeds []float64) *Placement {
 	p := &Placement{Shape: shape, slots: make([][]int32, shape.Layers)}
 	for n := range p.slots {
@@ -45,7 +44,7 @@
 	return slots
 }
 
-// replicate shares the slots out among the experts.
+// replicate assigns all slots to the experts, at least one to each.
 func replicate(shape Shape, popularity []float64) []replica {
 	counts := make([]int, shape.Experts)
 	for expert := range counts {
--- a/internal/rebalance/layer.go
+++ b/internal/rebalance/layer.go
@@ -2,8 +2,7 @@
 
 import "slices"
 
-// layer is the working state of one layer: who holds what, and each rank's
-// time. The arrays are used again from layer to layer.
+// layer is the working state of one layer while a plan is made.
 type layer struct {
 	shape      Shape
 	slots      []int32
@@ -11,9 +10,9 @@
 	speeds     []float64
 	hosts      [][]int32 // ranks by expert
 	times      []float64 // by rank
-	// kept is what the slots hold by the moves that are settled, start what they held
-	// at first, added how many experts each rank has that it didn't have then, and
-	// maxAdded the bound on that, or 0. loads is shared by all layers.
+	// committed and initial are the slots after the committed steps and at first. added
+	// is how many experts each rank has that it didn't have at first, maxAdded its limit,
+	// or 0 for none. loads is shared by all layers.
 	committed, initial []int32
 	added              []int
 	maxAdded           int
@@ -23,20 +22,20 @@
 // rankLoads counts the experts that each rank has to load, over all layers.
 type rankLoads struct {
 	byRank []int
-	// allowed bounds them; refused is set when the bound has stood in a step's way.
+	// limit bounds the loads of a rank; limited is set when it has ruled out a step.
 	limit   int
 	limited bool
 }
 
 func (r *rankLoads) reset() { clear(r.byRank) }
 
-// allow sets the bound.
+// setLimit sets the limit per rank.
 func (r *rankLoads) setLimit(limit int) { r.limit, r.limited = limit, false }
 
-// most is the number of the rank that has to load most.
+// highest returns the largest number of loads of a rank.
 func (r *rankLoads) highest() int { return slices.Max(r.byRank) }
 
-// mayAdd tells whether a rank may load one more.
+// canLoad reports whether a rank may load one more expert.
 func (r *rankLoads) canLoad(rank int) bool {
 	if r.byRank[rank] < r.limit {
 		return true
@@ -63,7 +62,7 @@
 	l.recount()
 }
 
-// count works out who holds what, and each rank's time.
+// recount recomputes the hosts of the experts and the time of each rank.
 func (l *layer) recount() {
 	for expert := range l.hosts {
 		l.hosts[expert] = l.hosts[expert][:0]
@@ -83,8 +82,8 @@
 	}
 }
 
-// bound limits how many experts may be loaded at each rank from now on: in this
-// layer, and in all that share the loads.
+// limitLoads limits the experts that each rank may load from now on: in this layer to
+// limit, and in all layers by the shared loads.
 func (l *layer) limitLoads(limit int, loads *rankLoads) {
 	copy(l.initial, l.slots)
 	copy(l.committed, l.slots)
@@ -92,10 +91,10 @@
 	l.maxAdded, l.loads = limit, loads
 }
 
-// keep settles the steps that were taken.
+// commit keeps the steps applied since the last commit.
 func (l *layer) commit() { copy(l.committed, l.slots) }
 
-// undo takes back the steps since the last that were settled.
+// rollback reverts the steps applied since the last commit.
 func (l *layer) rollback() {
 	copy(l.slots, l.committed)
 	l.recount()
@@ -115,7 +114,7 @@
 	return contains(l.initial[rank*l.shape.Slots:(rank+1)*l.shape.Slots], expert)
 }
 
-// mayAdd tells whether a rank may load an expert in the place of another.
+// canLoad reports whether a rank may load an expert in place of another.
 func (l *layer) canLoad(rank int, expert, victim int32) bool {
 	if l.loads == nil || l.hadInitially(rank, expert) {
 		return true
@@ -126,7 +125,7 @@
 	return (l.maxAdded == 0 || l.added[rank] < l.maxAdded) && l.loads.canLoad(rank)
 }
 
-// countAdded keeps the number of experts that a rank has to load.
+// trackAdded updates the number of experts that a rank has to load.
 func (l *layer) trackAdded(rank int, expert, victim int32) {
 	delta := 0
 	if expert != Empty && !l.hadInitially(rank, expert) {
@@ -141,8 +140,8 @@
 	}
 }
 
-// share is the work that each replica of an expert gets when it has more (or
-// fewer) replicas than now.
+// workPerReplica returns the work of each replica of an expert if the number of its
+// replicas changes by delta.
 func (l *layer) workPerReplica(expert, delta int) float64 {
 	if expert == Empty {
 		return 0
@@ -150,7 +149,7 @@
 	return l.popularity[expert] / float64(len(l.hosts[expert])+delta)
 }
 
-// hostsOf returns the ranks that hold an expert; an empty slot is held by none.
+// hostsOf returns the ranks that hold an expert, or none for an empty slot.
 func (l *layer) hostsOf(expert int) []int32 {
 	if expert == Empty {
 		return nil
@@ -174,10 +173,10 @@
 	return l.slots[rank*l.shape.Slots : (rank+1)*l.shape.Slots]
 }
 
-// coldest is how many of the least busy ranks are tried as a move's target.
+// maxTargets is how many of the least loaded ranks are considered as targets of a move.
 const maxTargets = 6
 
-// coldestRanks returns the least busy ranks, coldest first.
+// leastLoadedRanks returns the least loaded ranks in ascending order of their time.
 func (l *layer) leastLoadedRanks(into *[maxTargets]int) []int {
 	n := 0
 	for rank, time := range l.times {
@@ -195,25 +194,24 @@
 	return into[:n]
 }
 
-// step is one change of a layer: a replica dropped, a replica put in the place of
-// another, or two experts of two ranks exchanged.
+// step is one change of a layer: a replica dropped, a replica replaced by another, or
+// two experts of two ranks exchanged.
 type step struct {
 	moves [2]Move
-	// length is how many of the moves there are, loads how many of them load an expert.
+	// length is the number of moves, loads the number of those that load an expert.
 	length, loads int
 }
 
-// bestStep finds the step that lightens the slowest rank the most without
-// making another as slow. The rank drops a replica whose work the expert's other hosts
-// can take over, which copies nothing, or one of its experts gets a replica at one of
-// the coldest ranks, in the place of an expert that has other replicas. Only when
-// no such step helps are exchanges tried, which cost two loads.
+// bestStep returns the step that reduces the time of the slowest rank most without
+// making another rank as slow. A step drops a replica, which copies nothing, or adds a
+// replica at one of the least loaded ranks in place of an expert with other replicas.
+// Exchanges, which cost two loads, are tried only if no such step helps.
 func (l *layer) bestStep(n int) (step, bool) {
 	hot := l.slowestRank()
 	best, peak := step{}, l.times[hot]
 	l.tryDrops(n, hot, &best, &peak)
-	var buffer [maxTargets]int
-	targets := l.leastLoadedRanks(&buffer)
+	var targetBuffer [maxTargets]int
+	targets := l.leastLoadedRanks(&targetBuffer)
 	for _, target := range targets {
 		l.tryReplicas(n, hot, target, &best, &peak)
 	}
@@ -226,9 +224,8 @@
 	return best, best.length > 0
 }
 
-// tryDrops tries to drop each of the slowest rank's experts that others hold too. A
-// rank that is many times slower than the others gets rid of its work only so: with a
-// replica elsewhere alone, half of it stays.
+// tryDrops tries to drop each replica of the slowest rank that has other hosts. Adding
+// a replica elsewhere only halves the work, which isn't enough for a very slow rank.
 func (l *layer) tryDrops(n, hot int, best *step, bestPeak *float64) {
 	for slot, expert := range l.held(hot) {
 		if expert == Empty || len(l.hosts[expert]) < 2 {
@@ -252,7 +249,7 @@
 	return peak
 }
 
-// tryReplicas tries a replica of each of the slowest rank's experts at target.
+// tryReplicas tries to add a replica of each of the slowest rank's experts at target.
 func (l *layer) tryReplicas(n, hot, target int, best *step, bestPeak *float64) {
 	if target == hot {
 		return
@@ -273,8 +270,8 @@
 	}
 }
 
-// tryExchanges tries to exchange each of the slowest rank's experts with each
-// of target's.
+// tryExchanges tries to exchange each of the slowest rank's experts with each of
+// target's.
 func (l *layer) tryExchanges(n, hot, target int, best *step, bestPeak *float64) {
 	if target == hot {
 		return
@@ -303,7 +300,7 @@
 	return max(l.times[hot]-difference/l.speeds[hot], l.times[target]+difference/l.speeds[target])
 }
 
-// take carries out a step.
+// applyStep applies a step.
 func (l *layer) applyStep(s step) {
 	if s.length == 1 {
 		l.apply(s.moves[0])
@@ -321,7 +318,7 @@
 	l.held(back.Rank)[back.Slot] = int32(back.Expert)
 }
 
-// peakAfter is the time of the slowest rank that a move touches.
+// peakAfter returns the time of the slowest rank that a move affects.
 func (l *layer) peakAfter(hot, target, expert, victim int) float64 {
 	less := l.workPerReplica(expert, 0) - l.workPerReplica(expert, 1)
 	more := l.workPerReplica(victim, -1) - l.workPerReplica(victim, 0)
@@ -343,7 +340,7 @@
 	return max(peak, hotTime)
 }
 
-// apply carries out a move.
+// apply applies a move.
 func (l *layer) apply(m Move) {
 	victim := int(l.held(m.Rank)[m.Slot])
 	l.held(m.Rank)[m.Slot] = int32(m.Expert)
@@ -356,8 +353,8 @@
 	l.trackAdded(m.Rank, int32(m.Expert), int32(victim))
 }
 
-// shift adds a rank to an expert's hosts, or takes it away, and spreads the expert's
-// work anew.
+// changeHost adds a rank to the hosts of an expert or removes it, and redistributes
+// the expert's work.
 func (l *layer) changeHost(expert, rank, delta int) {
 	before, after := l.workPerReplica(expert, 0), l.workPerReplica(expert, delta)
 	for _, host := range l.hosts[expert] {
--- a/internal/rebalance/placement.go
+++ b/internal/rebalance/placement.go
@@ -1,5 +1,5 @@
-// Package rebalance decides which expert replicas a group moves. It is pure: state
-// in, decision out.
+// Package rebalance decides which expert replicas of a group to move. It has no
+// side effects.
 package rebalance
 
 import (
@@ -8,32 +8,31 @@
 	"github.com/pkg/errors"
 )
 
-// Shape is a group's size.
+// Shape holds the dimensions of a group.
 type Shape struct {
 	Ranks, Experts, Layers int
-	// Slots is how many expert replicas each rank holds per layer.
+	// Slots is the number of expert replicas that each rank holds per layer.
 	Slots int
 }
 
-// Empty is what a slot without an expert holds.
+// Empty marks a slot without an expert.
 const Empty = -1
 
-// Placement is an expert map: which expert each slot of each rank holds, by
-// layer. A rank holds an expert at most once per layer.
+// Placement is an expert map: the expert in each slot of each rank, by layer. A rank
+// holds an expert at most once per layer.
 type Placement struct {
 	Shape Shape
-	// slots[layer][rank*Shape.Slots+slot] is an expert.
+	// slots[layer][rank*Shape.Slots+slot] is an expert or Empty.
 	slots [][]int32
 }
 
-// NewPlacement spreads the experts evenly: the default map of a group that was
-// never rebalanced. Slots beyond one replica of each are filled round robin.
+// NewPlacement returns the default map of a group, with experts assigned round robin.
 func NewPlacement(shape Shape) (*Placement, error) {
 	if shape.Ranks*shape.Slots < shape.Experts {
-		return nil, errors.Errorf("slots: %d ranks x %d slots can't hold %d experts", shape.Ranks, shape.Slots, shape.Experts)
+		return nil, errors.Errorf("%d ranks with %d slots each cannot hold %d experts", shape.Ranks, shape.Slots, shape.Experts)
 	}
 	if shape.Slots > shape.Experts {
-		return nil, errors.Errorf("slots: %d a rank are more than the %d experts", shape.Slots, shape.Experts)
+		return nil, errors.Errorf("%d slots per rank exceed the number of experts, %d", shape.Slots, shape.Experts)
 	}
 	p := &Placement{Shape: shape, slots: make([][]int32, shape.Layers)}
 	for layer := range p.slots {
@@ -48,8 +47,8 @@
 	return p, nil
 }
 
-// repairDuplicates makes each rank's experts differ. Round robin gives a rank
-// the same expert twice when the ranks are a multiple of the experts.
+// repairDuplicates makes the experts of each rank distinct. Round robin assigns a rank
+// the same expert twice if the number of ranks is a multiple of the number of experts.
 func (p *Placement) repairDuplicates(layer int) {
 	for rank := range p.Shape.Ranks {
 		held := p.rank(layer, rank)
@@ -76,7 +75,7 @@
 	return p.slots[layer][from : from+p.Shape.Slots]
 }
 
-// Clone returns a copy.
+// Clone returns a deep copy.
 func (p *Placement) Clone() *Placement {
 	c := &Placement{Shape: p.Shape, slots: make([][]int32, len(p.slots))}
 	for layer := range p.slots {
@@ -85,21 +84,21 @@
 	return c
 }
 
-// Move loads an expert into a slot, in the place of what that holds.
+// Move replaces the expert in a slot. Expert may be Empty.
 type Move struct {
 	Layer, Rank, Slot int
 	Expert            int
 }
 
-// Apply carries out moves.
+// Apply applies moves.
 func (p *Placement) Apply(moves []Move) {
 	for _, m := range moves {
 		p.slots[m.Layer][m.Rank*p.Shape.Slots+m.Slot] = int32(m.Expert)
 	}
 }
 
-// Valid checks that every expert has a replica in every layer and that no rank
-// holds an expert twice.
+// Validate returns an error unless every expert has a replica in every layer and no
+// rank holds an expert twice.
 func (p *Placement) Validate() error {
 	for layer := range p.slots {
 		seen := make([]bool, p.Shape.Experts)
@@ -124,8 +123,7 @@
 	return nil
 }
 
-// Distance counts the slots in which two placements differ, as experts that
-// must be loaded to get from one to the other.
+// Distance returns the number of experts that must be loaded to get from p to other.
 func (p *Placement) Distance(other *Placement) int {
 	loads := 0
 	for layer := range p.slots {
@@ -141,8 +139,8 @@
 	return loads
 }
 
-// MostLoads is how many experts the rank that loads most has to load, over all
-// layers, to get from one placement to another.
+// MaxLoads returns the largest number of experts that one rank must load, over all
+// layers, to get from p to other.
 func (p *Placement) MaxLoads(other *Placement) int {
 	loads := make([]int, p.Shape.Ranks)
 	for layer := range p.slots {
@@ -158,10 +156,10 @@
 	return slices.Max(loads)
 }
 
-// Popularity is the work that each expert of each layer attracts, in any unit.
+// Popularity is the work that each expert of each layer receives, in any unit.
 type Popularity [][]float64
 
-// NewPopularity returns zeros.
+// NewPopularity returns a Popularity of zeros.
 func NewPopularity(shape Shape) Popularity {
 	p := make(Popularity, shape.Layers)
 	for layer := range p {
@@ -173,9 +171,9 @@
 // Total returns the work of one layer.
 func (p Popularity) Total(layer int) float64 { return sum(p[layer]) }
 
-// Skew returns the group's step time over the time that a perfect spread would
-// take. Ranks wait for each other in each layer, so the slowest rank of each
-// counts. speeds are relative; 1 is a healthy rank's.
+// Skew returns the step time of the group relative to a perfectly balanced one. The
+// slowest rank of each layer determines the time, since ranks wait for each other in
+// each layer. speeds are relative to a healthy rank.
 func (p *Placement) Skew(popularity Popularity, speeds []float64) float64 {
 	slowest, ideal := 0.0, 0.0
 	capacity := sum(speeds)
@@ -199,8 +197,8 @@
 	return total
 }
 
-// FromLists returns a placement by the experts of each rank in each layer. Slots
-// that the lists leave are empty.
+// NewPlacementFromLists returns the placement with the given experts by layer and rank.
+// Remaining slots are empty.
 func NewPlacementFromLists(shape Shape, lists [][][]int) (*Placement, error) {
 	p := &Placement{Shape: shape, slots: make([][]int32, shape.Layers)}
 	if len(lists) != shape.Layers {
@@ -213,7 +211,7 @@
 		p.slots[layer] = make([]int32, shape.Ranks*shape.Slots)
 		for rank, experts := range ranks {
 			if len(experts) > shape.Slots {
-				return nil, errors.Errorf("placement: layer %d: rank %d holds %d experts, at most %d", layer, rank, len(experts), shape.Slots)
+				return nil, errors.Errorf("placement: layer %d: rank %d holds %d experts, but has %d slots", layer, rank, len(experts), shape.Slots)
 			}
 			held := p.rank(layer, rank)
 			for slot := range held {
@@ -221,7 +219,7 @@
 			}
 			for slot, expert := range experts {
 				if expert < 0 || expert >= shape.Experts {
-					return nil, errors.Errorf("placement: layer %d: no expert %d", layer, expert)
+					return nil, errors.Errorf("placement: layer %d: expert %d does not exist", layer, expert)
 				}
 				held[slot] = int32(expert)
 			}
@@ -230,7 +228,7 @@
 	return p, p.Validate()
 }
 
-// Lists returns the experts of each rank in each layer.
+// Lists returns the experts by layer and rank.
 func (p *Placement) Lists() [][][]int {
 	lists := make([][][]int, len(p.slots))
 	for layer := range p.slots {
--- a/internal/rebalance/plan.go
+++ b/internal/rebalance/plan.go
@@ -4,39 +4,37 @@
 	"time"
 )
 
-// Options are the operator's weights and the platform's limits.
+// Options configure a plan.
 type Options struct {
-	// SkewWeight is what one per cent less time of a layer's slowest rank is
-	// worth; CostWeight is what loading one expert costs. Only their ratio counts:
-	// a step is made when it gains more than CostWeight/SkewWeight per cent a load.
+	// SkewWeight is the value of reducing the time of a layer's slowest rank by one
+	// percent, CostWeight the cost of loading one expert. Only their ratio matters: a step
+	// must gain more than CostWeight/SkewWeight percent per load.
 	SkewWeight, CostWeight float64
-	// MaxMoves bounds the moves of one plan, from the weight store's rate and the
-	// planning interval.
+	// MaxMoves bounds the moves of a plan.
 	MaxMoves int
-	// MaxNewPerRank bounds the experts of a layer that a plan may load at one rank;
-	// 0 means no bound.
+	// MaxNewPerRank bounds the experts of a layer that a plan may load at one rank; 0
+	// means no limit.
 	MaxNewPerRank int
-	// GoodEnough ends the search in a layer once its slowest rank's time is at most
-	// this many times the ideal one; 0 means that only cost does.
+	// TargetRatio ends the search in a layer once the time of its slowest rank is at most
+	// this multiple of the ideal time; 0 means that only the cost ends it.
 	TargetRatio float64
-	// Times say how long it takes until a plan is in force.
+	// Timing is used to estimate when a plan takes effect.
 	Timing Timing
 }
 
-// Times are what a plan costs in time. The zero value means that plans are in force
-// at once.
+// Timing describes how long a plan takes. The zero value means no time.
 type Timing struct {
-	// Copy is how long a rank copies one expert. All ranks copy at the same time, each
-	// one expert after the other.
+	// Copy is how long a rank takes to copy one expert. Ranks copy concurrently, each one
+	// expert at a time.
 	Copy time.Duration
-	// Switch is what it takes besides to bring a map into use.
+	// Switch is the time that a map switch takes besides copying.
 	Switch time.Duration
 }
 
-// rate is what a plan wins in a second until it is in force: its gain in skew.
+// gainRate returns the reduction of skew per second until a plan takes effect.
 //
-// Plans follow each other, so that which gains most a second goes first: that order
-// leaves the least skew over time. A long plan makes everybody wait for its last copy.
+// Plans follow each other. Applying the one with the highest rate first minimizes the
+// skew over time: a long plan takes effect only after its last copy.
 func (t Timing) gainRate(before, after float64, loads int) float64 {
 	duration := t.Switch + time.Duration(loads)*t.Copy
 	if duration <= 0 {
@@ -45,25 +43,26 @@
 	return (before - after) / duration.Seconds()
 }
 
-// Planner turns popularity into moves. It keeps its arrays between plans. Not
-// safe for concurrent use.
+// Planner computes the moves for a change of popularity. It reuses its buffers between
+// plans. Not safe for concurrent use.
 type Planner struct {
 	shape  Shape
 	layers []*layer
 	loads  *rankLoads
-	// ideal is each layer's slowest time if it were spread evenly, slowest what it is by
-	// the moves so far; stuck is set for layers in which no step helps within the present
-	// bound on loads.
+	// ideal is the time of each layer if it were balanced, slowest that of its slowest
+	// rank after the moves so far. stuck marks layers in which no step helps within the
+	// current limit on loads.
 	ideal, slowest []float64
 	stuck          []bool
 	loadCost       float64
-	// moves are those of the plan so far; pending those of a step that has not paid yet.
+	// moves has the committed moves of the plan, pending those of steps whose gain doesn't
+	// cover their cost yet.
 	moves, pending []Move
-	// pendingLoads is how many of the pending moves load an expert.
+	// pendingLoads is the number of pending moves that load an expert.
 	pendingLoads int
 }
 
-// NewPlanner returns a planner for groups of a shape.
+// NewPlanner returns a planner for groups of the given shape.
 func NewPlanner(shape Shape) *Planner {
 	p := &Planner{
 		shape: shape, loads: &rankLoads{byRank: make([]int, shape.Ranks)},
@@ -75,13 +74,13 @@
 	return p
 }
 
-// Plan returns the moves worth making, or none.
+// Plan returns the moves worth making, if any.
 //
-// The plan grows in stages: each allows every rank some more loads over all layers
-// together, since a switch takes as long as the rank that copies most. Of the
-// stages, the one that gains most a second until it's in force is returned. Within a
-// stage, the layer with the slowest rank is lightened first, step by step; a step
-// that costs more than it gains isn't made, which is the hysteresis against noise.
+// The plan grows in stages. Each stage raises the limit on the loads per rank over all
+// layers, since the rank that copies most determines how long a switch takes. The stage
+// with the highest gain rate is returned. Within a stage, Plan repeatedly improves the
+// layer with the slowest rank. Steps that cost more than they gain are not made, which
+// prevents moves in response to noise.
 func (p *Planner) Plan(current *Placement, popularity Popularity, speeds []float64, options Options) []Move {
 	p.reset(current, popularity, speeds, options)
 	before := p.skew()
@@ -100,12 +99,12 @@
 	return p.moves[:bestLength:bestLength]
 }
 
-// worseStages is how many stages in a row may gain less a second before the search
-// ends: each further load at a rank gains less than the one before, as a rule.
+// maxWorseStages is how many consecutive stages may have a lower gain rate before the
+// search ends.
 const maxWorseStages = 3
 
-// firstBound is the bound on a rank's loads to begin with: none when copies take no
-// time.
+// initialLoadLimit returns the first limit on the loads of a rank, which is effectively
+// none if copies take no time.
 func (p *Planner) initialLoadLimit(options Options) int {
 	if options.Timing.Copy <= 0 {
 		return p.shape.Layers * p.shape.Slots
@@ -113,8 +112,8 @@
 	return 1
 }
 
-// fineBounds is up to which bound the stages differ by one load; further ones differ
-// by a quarter, so that groups of many layers are planned in some twenty stages.
+// fineLoadLimit is the limit up to which stages differ by one load. Later ones grow by
+// a quarter, to bound the number of stages in groups with many layers.
 const fineLoadLimit = 8
 
 func nextLoadLimit(limit int) int {
@@ -124,13 +123,13 @@
 	return limit + limit/4
 }
 
-// start takes in the present state.
+// reset starts a plan from the current placement.
 func (p *Planner) reset(current *Placement, popularity Popularity, speeds []float64, options Options) {
 	p.loadCost = 0
 	if options.SkewWeight > 0 {
 		p.loadCost = options.CostWeight / options.SkewWeight
 	}
-	p.moves = nil // the last plan's may still be in use
+	p.moves = nil // the caller may still use those of the last plan
 	p.loads.reset()
 	for n, l := range p.layers {
 		l.load(current, n, popularity[n], speeds)
@@ -139,7 +138,7 @@
 	}
 }
 
-// skew is Placement.Skew of the plan so far.
+// skew returns Placement.Skew after the moves so far.
 func (p *Planner) skew() float64 {
 	slowest, ideal := 0.0, 0.0
 	for n := range p.layers {
@@ -152,7 +151,7 @@
 	return slowest / ideal
 }
 
-// lighten makes all steps that pay within the bound on loads.
+// reduceSkew applies all steps that pay off within the limit on loads.
 func (p *Planner) reduceSkew(options Options) {
 	for n := range p.stuck {
 		p.stuck[n] = false
@@ -166,12 +165,12 @@
 	}
 }
 
-// worstLayer returns the layer with the slowest rank among those in which steps may
-// help, or -1.
-func (p *Planner) worstLayer(goodEnough float64) int {
+// worstLayer returns the layer with the slowest rank among those that may still be
+// improved, or -1.
+func (p *Planner) worstLayer(targetRatio float64) int {
 	worst := -1
 	for n, slowest := range p.slowest {
-		if p.stuck[n] || p.ideal[n] == 0 || slowest <= p.ideal[n]*goodEnough {
+		if p.stuck[n] || p.ideal[n] == 0 || slowest <= p.ideal[n]*targetRatio {
 			continue
 		}
 		if worst < 0 || slowest > p.slowest[worst] {
@@ -181,18 +180,17 @@
 	return worst
 }
 
-// patience is how many moves in a row may bring no net gain before the search in a
-// layer ends: several ranks may have to be lightened before the slowest one's time
-// falls.
+// maxPendingMoves is how many consecutive moves may have no net gain before the search
+// in a layer ends. Several ranks may need relief before the slowest time falls.
 const maxPendingMoves = 24
 
-// improve makes the fewest steps in a layer that gain more than they cost. It tells
-// whether there are any.
+// improveLayer applies the fewest steps in a layer that gain more than they cost. It
+// reports whether there are any.
 func (p *Planner) improveLayer(n int, options Options) bool {
 	l := p.layers[n]
-	before := l.slowestTime()
+	slowestBefore := l.slowestTime()
 	p.pending, p.pendingLoads = p.pending[:0], 0
-	for len(p.pending) <= maxPendingMoves && l.slowestTime() > p.ideal[n]*options.TargetRatio && p.canPay(n, before) {
+	for len(p.pending) <= maxPendingMoves && l.slowestTime() > p.ideal[n]*options.TargetRatio && p.canPay(n, slowestBefore) {
 		best, found := l.bestStep(n)
 		if !found || len(p.moves)+len(p.pending)+best.length > options.MaxMoves {
 			break
@@ -200,7 +198,7 @@
 		l.applyStep(best)
 		p.pending = append(p.pending, best.moves[:best.length]...)
 		p.pendingLoads += best.loads
-		gain := (before - l.slowestTime()) / p.ideal[n] * 100
+		gain := (slowestBefore - l.slowestTime()) / p.ideal[n] * 100
 		if gain > p.loadCost*float64(p.pendingLoads) {
 			p.moves = append(p.moves, p.pending...)
 			l.commit()
@@ -212,7 +210,7 @@
 	return false
 }
 
-// mayPay tells whether a perfect spread would pay for one more load.
+// canPay reports whether a perfect balance would justify one more load.
 func (p *Planner) canPay(n int, before float64) bool {
 	maxGain := (before - p.ideal[n]) / p.ideal[n] * 100
 	return maxGain > p.loadCost*float64(p.pendingLoads+1)
--- a/internal/rebalance/rebalance_test.go
+++ b/internal/rebalance/rebalance_test.go
@@ -9,7 +9,7 @@
 	"pgregory.net/rapid"
 )
 
-// The seed is fixed, so that CI gives the same verdict every time.
+// The fixed seed keeps CI deterministic.
 func init() {
 	if err := flag.Set("rapid.seed", "1"); err != nil {
 		panic(err)
@@ -22,8 +22,8 @@
 		Experts: rapid.IntRange(1, 24).Draw(t, "experts"),
 		Layers:  rapid.IntRange(1, 3).Draw(t, "layers"),
 	}
-	least := (shape.Experts + shape.Ranks - 1) / shape.Ranks
-	shape.Slots = rapid.IntRange(least, max(least, min(shape.Experts, least+3))).Draw(t, "slots")
+	minSlots := (shape.Experts + shape.Ranks - 1) / shape.Ranks
+	shape.Slots = rapid.IntRange(minSlots, max(minSlots, min(shape.Experts, minSlots+3))).Draw(t, "slots")
 	return shape
 }
 
@@ -45,8 +45,8 @@
 	return speeds
 }
 
-// TestPlansKeepEveryExpertAndPay: whatever the input, a plan leaves every expert
-// with a replica, no rank with two of one, and never makes the group slower.
+// TestPlansKeepAllExpertsAndNeverAddSkew checks that after any plan every expert has a
+// replica, no rank holds an expert twice, and the skew hasn't grown.
 func TestPlansKeepAllExpertsAndNeverAddSkew(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		shape := drawShape(t)
@@ -68,14 +68,14 @@
 				t.Fatal(err)
 			}
 			if after := p.Skew(popularity, speeds); after > before*(1+1e-9) {
-				t.Fatalf("%d moves made the skew %g from %g", len(moves), after, before)
+				t.Fatalf("skew is %[2]g after %[1]d moves, was %[3]g", len(moves), after, before)
 			}
 		}
 	})
 }
 
-// TestLayerTimesStayExact: the times that the planner updates move by move are
-// those of the placement counted afresh.
+// TestLayerTimesMatchRecount checks that the times that are updated step by step equal
+// those recomputed from the placement.
 func TestLayerTimesMatchRecount(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		shape := drawShape(t)
@@ -99,12 +99,12 @@
 			fresh.load(p, 0, popularity[0], speeds)
 			for rank := range l.times {
 				if math.Abs(l.times[rank]-fresh.times[rank]) > 1e-6 {
-					t.Fatalf("rank %d: %g, counted afresh %g", rank, l.times[rank], fresh.times[rank])
+					t.Fatalf("rank %d: time is %g, recomputed %g", rank, l.times[rank], fresh.times[rank])
 				}
 			}
 			for _, rank := range []int{hot, best.moves[0].Rank} {
 				if fresh.times[rank] >= slowest+1e-9 {
-					t.Fatalf("a step left rank %d at %g, the slowest was at %g", rank, fresh.times[rank], slowest)
+					t.Fatalf("after a step, rank %d has time %g, the slowest had %g", rank, fresh.times[rank], slowest)
 				}
 			}
 		}
@@ -119,7 +119,7 @@
 			held := p.rank(0, rank)
 			for slot, expert := range held {
 				if contains(held[:slot], expert) {
-					t.Fatalf("rank %d holds %d twice", rank, expert)
+					t.Fatalf("rank %d holds expert %d twice", rank, expert)
 				}
 			}
 		}
@@ -141,26 +141,26 @@
 	cheap := planner.Plan(p, popularity, speeds, Options{SkewWeight: 1, CostWeight: 0.01, MaxMoves: 100})
 	expensive := planner.Plan(p, popularity, speeds, Options{SkewWeight: 1, CostWeight: 1000, MaxMoves: 100})
 	if len(cheap) == 0 || len(expensive) != 0 {
-		t.Fatalf("cheap %d moves, dear %d", len(cheap), len(expensive))
+		t.Fatalf("got %d moves at low cost, %d at high cost, want some and none", len(cheap), len(expensive))
 	}
 	p.Apply(cheap)
-	if again := planner.Plan(p, popularity, speeds, Options{SkewWeight: 1, CostWeight: 0.01, MaxMoves: 100}); len(again) != 0 {
-		t.Fatalf("a plan that was carried out asks for %d more moves", len(again))
+	if more := planner.Plan(p, popularity, speeds, Options{SkewWeight: 1, CostWeight: 0.01, MaxMoves: 100}); len(more) != 0 {
+		t.Fatalf("%d more moves after the plan was applied", len(more))
 	}
 	if none := planner.Plan(p, popularity, speeds, Options{SkewWeight: 1, MaxMoves: 0}); len(none) != 0 {
-		t.Fatalf("%d moves over a budget of none", len(none))
+		t.Fatalf("%d moves with a limit of 0", len(none))
 	}
 }
 
-// TestPlansKeepTheBoundOnNewExperts: a plan loads no more experts of a layer at
-// a rank than the engine takes in one order, also into empty slots.
+// TestPlansRespectMaxNewPerRank checks that a plan doesn't exceed the number of experts
+// of a layer that an engine accepts per command, including those for empty slots.
 func TestPlansRespectMaxNewPerRank(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		shape := Shape{
 			Ranks: rapid.IntRange(2, 8).Draw(t, "ranks"), Experts: rapid.IntRange(4, 24).Draw(t, "experts"), Layers: 2,
 		}
-		least := (shape.Experts + shape.Ranks - 1) / shape.Ranks
-		shape.Slots = least + rapid.IntRange(0, 2).Draw(t, "spare slots")
+		minSlots := (shape.Experts + shape.Ranks - 1) / shape.Ranks
+		shape.Slots = minSlots + rapid.IntRange(0, 2).Draw(t, "spare slots")
 		bound := rapid.IntRange(1, 3).Draw(t, "bound")
 		lists := make([][][]int, shape.Layers)
 		for layer := range lists {
@@ -193,7 +193,7 @@
 						}
 					}
 					if added > bound {
-						t.Fatalf("layer %d, rank %d: %d new experts, at most %d", layer, rank, added, bound)
+						t.Fatalf("layer %d, rank %d: %d new experts, want at most %d", layer, rank, added, bound)
 					}
 				}
 			}
@@ -202,8 +202,8 @@
 	})
 }
 
-// TestLargeLayersGoInParts: a layer whose plan is over the bound by itself is
-// planned in part, so that a large group gets on at all.
+// TestLargeLayersArePlannedInParts checks that a layer that needs more than MaxMoves
+// still makes progress and is completed by later plans.
 func TestLargeLayersArePlannedInParts(t *testing.T) {
 	shape := Shape{Ranks: 8, Experts: 32, Layers: 2, Slots: 6}
 	p, err := NewPlacement(shape)
@@ -217,11 +217,11 @@
 		}
 	}
 	planner, speeds := NewPlanner(shape), []float64{1, 1, 1, 1, 1, 1, 1, 1}
-	whole := planner.Plan(p, popularity, speeds, Options{SkewWeight: 1, MaxMoves: 1000})
-	bound := len(whole)/2 - 1
-	part := planner.Plan(p, popularity, speeds, Options{SkewWeight: 1, MaxMoves: bound})
-	if len(part) == 0 || len(part) > bound {
-		t.Fatalf("%d moves of a plan of %d, want 1 to %d", len(part), len(whole), bound)
+	full := planner.Plan(p, popularity, speeds, Options{SkewWeight: 1, MaxMoves: 1000})
+	bound := len(full)/2 - 1
+	partial := planner.Plan(p, popularity, speeds, Options{SkewWeight: 1, MaxMoves: bound})
+	if len(partial) == 0 || len(partial) > bound {
+		t.Fatalf("%d moves of a plan of %d, want 1 to %d", len(partial), len(full), bound)
 	}
 	for range 100 {
 		p.Apply(planner.Plan(p, popularity, speeds, Options{SkewWeight: 1, MaxMoves: bound}))
@@ -230,12 +230,12 @@
 		}
 	}
 	if left := planner.Plan(p, popularity, speeds, Options{SkewWeight: 1, MaxMoves: 1000}); len(left) != 0 {
-		t.Fatalf("%d moves are left over", len(left))
+		t.Fatalf("%d moves remain", len(left))
 	}
 }
 
-// shiftedDemand is a group with a fitting map whose demand has just jumped: in each
-// layer, one expert is liked by far the most.
+// jumpedDemand returns a group with the default map and a demand that strongly favors
+// other experts in each layer.
 func jumpedDemand(t testing.TB) (*Placement, Popularity, []float64) {
 	t.Helper()
 	shape := Shape{Ranks: 12, Experts: 96, Layers: 3, Slots: 11}
@@ -255,95 +255,91 @@
 	return p, popularity, speeds
 }
 
-// inForce is the mean skew over a time in which plans follow each other, each in force
-// once its copies are made: what the callers of a group get.
-func meanSkew(t testing.TB, over time.Duration, times Timing, plan func(*Placement, Popularity, []float64) []Move) float64 {
+// meanSkew returns the mean skew over a period of consecutive plans, each of which
+// takes effect once its copies are made.
+func meanSkew(t testing.TB, period time.Duration, timing Timing, plan func(*Placement, Popularity, []float64) []Move) float64 {
 	t.Helper()
 	p, popularity, speeds := jumpedDemand(t)
-	total, at := 0.0, time.Duration(0)
-	for at < over {
+	total, elapsed := 0.0, time.Duration(0)
+	for elapsed < period {
 		next := p.Clone()
 		next.Apply(plan(p, popularity, speeds))
-		took := min(times.Switch+time.Duration(p.MaxLoads(next))*times.Copy, over-at)
-		total += took.Seconds() * p.Skew(popularity, speeds)
-		at, p = at+took, next
+		duration := min(timing.Switch+time.Duration(p.MaxLoads(next))*timing.Copy, period-elapsed)
+		total += duration.Seconds() * p.Skew(popularity, speeds)
+		elapsed, p = elapsed+duration, next
 	}
-	return total / over.Seconds()
+	return total / period.Seconds()
 }
 
-// TestPlansCountTheTimeOfCopies: where a copy takes 0.4 s, the plan that gains most a
-// second leaves less skew over the four seconds after a jump than one that brings
-// everything at once; where copies are quick it
-// doesn't leave more.
+// TestPlansAccountForCopyTime checks that if copies are slow, plans by gain rate leave
+// less skew over time than plans that ignore copy time, and if they are fast, no more.
 func TestPlansAccountForCopyTime(t *testing.T) {
 	for _, example := range []struct {
 		copy     time.Duration
-		mostPart float64
+		maxRatio float64
 	}{
-		{copy: 400 * time.Millisecond, mostPart: 0.85},
-		{copy: 40 * time.Millisecond, mostPart: 1.02},
+		{copy: 400 * time.Millisecond, maxRatio: 0.85},
+		{copy: 40 * time.Millisecond, maxRatio: 1.02},
 	} {
-		times := Timing{Copy: example.copy, Switch: 300 * time.Millisecond}
+		timing := Timing{Copy: example.copy, Switch: 300 * time.Millisecond}
 		planner := NewPlanner(Shape{Ranks: 12, Experts: 96, Layers: 3, Slots: 11})
-		with := func(times Timing) func(*Placement, Popularity, []float64) []Move {
+		with := func(timing Timing) func(*Placement, Popularity, []float64) []Move {
 			return func(p *Placement, popularity Popularity, speeds []float64) []Move {
 				return planner.Plan(p, popularity, speeds, Options{
-					SkewWeight: 1, CostWeight: 1, MaxMoves: 170, MaxNewPerRank: 4, TargetRatio: 1.12, Timing: times,
+					SkewWeight: 1, CostWeight: 1, MaxMoves: 170, MaxNewPerRank: 4, TargetRatio: 1.12, Timing: timing,
 				})
 			}
 		}
-		const over = 4 * time.Second
-		timed, atOnce := meanSkew(t, over, times, with(times)), meanSkew(t, over, times, with(Timing{}))
-		t.Logf("copies of %s: mean skew %.3f, all at once %.3f", example.copy, timed, atOnce)
-		if timed > example.mostPart*atOnce {
-			t.Errorf("copies of %s: mean skew %.3f, want at most %.2f of %.3f", example.copy, timed, example.mostPart, atOnce)
+		const period = 4 * time.Second
+		timed, atOnce := meanSkew(t, period, timing, with(timing)), meanSkew(t, period, timing, with(Timing{}))
+		t.Logf("copies of %s: mean skew %.3f, ignoring copy time %.3f", example.copy, timed, atOnce)
+		if timed > example.maxRatio*atOnce {
+			t.Errorf("copies of %s: mean skew %.3f, want at most %.2f of %.3f", example.copy, timed, example.maxRatio, atOnce)
 		}
 	}
 }
 
-// TestQuickerCopiesNeverLeaveMoreSkew: more link never makes it worse.
+// TestFasterCopiesNeverIncreaseSkew checks that more bandwidth never makes plans worse.
 func TestFasterCopiesNeverIncreaseSkew(t *testing.T) {
-	const slack = 1.02 // batches of whole copies don't always end on time
+	const tolerance = 1.02 // batches of whole copies rarely end exactly with the period
 	planner := NewPlanner(Shape{Ranks: 12, Experts: 96, Layers: 3, Slots: 11})
 	last := math.Inf(1)
 	for _, copyTime := range []time.Duration{800, 400, 200, 100, 50, 25} {
-		times := Timing{Copy: copyTime * time.Millisecond, Switch: 300 * time.Millisecond}
-		skew := meanSkew(t, 4*time.Second, times, func(p *Placement, popularity Popularity, speeds []float64) []Move {
+		timing := Timing{Copy: copyTime * time.Millisecond, Switch: 300 * time.Millisecond}
+		skew := meanSkew(t, 4*time.Second, timing, func(p *Placement, popularity Popularity, speeds []float64) []Move {
 			return planner.Plan(p, popularity, speeds, Options{
-				SkewWeight: 1, CostWeight: 1, MaxMoves: 170, MaxNewPerRank: 4, TargetRatio: 1.12, Timing: times,
+				SkewWeight: 1, CostWeight: 1, MaxMoves: 170, MaxNewPerRank: 4, TargetRatio: 1.12, Timing: timing,
 			})
 		})
-		t.Logf("copies of %s: mean skew %.3f", times.Copy, skew)
-		if skew > slack*last {
-			t.Errorf("copies of %s leave a mean skew of %.3f, slower ones %.3f", times.Copy, skew, last)
+		t.Logf("copies of %s: mean skew %.3f", timing.Copy, skew)
+		if skew > tolerance*last {
+			t.Errorf("copies of %s: mean skew %.3f, with slower copies %.3f", timing.Copy, skew, last)
 		}
 		last = skew
 	}
 }
 
-// TestASlowRankGetsRidOfItsWork: a rank at a twelfth of the others' speed holds every
-// pass up until it has no experts left that others could run. After two switches of
-// 0.7 s, plans that only add replicas left a skew of 2.08, since a part of each expert's
-// work stays; plans that drop replicas, too, leave 1.24.
+// TestSlowRankDropsItsReplicas checks that a very slow rank drops the experts that
+// others host. Replicas elsewhere alone would leave it a part of their work.
 func TestSlowRankDropsItsReplicas(t *testing.T) {
 	p, popularity, speeds := jumpedDemand(t)
 	speeds[5] = 1.0 / 12
-	times := Timing{Copy: 400 * time.Millisecond, Switch: 300 * time.Millisecond}
+	timing := Timing{Copy: 400 * time.Millisecond, Switch: 300 * time.Millisecond}
 	planner := NewPlanner(p.Shape)
-	for at := time.Duration(0); at < 1400*time.Millisecond; {
+	for elapsed := time.Duration(0); elapsed < 1400*time.Millisecond; {
 		next := p.Clone()
 		next.Apply(planner.Plan(p, popularity, speeds, Options{
-			SkewWeight: 1, CostWeight: 1, MaxMoves: 170, MaxNewPerRank: 4, TargetRatio: 1.12, Timing: times,
+			SkewWeight: 1, CostWeight: 1, MaxMoves: 170, MaxNewPerRank: 4, TargetRatio: 1.12, Timing: timing,
 		}))
 		if err := next.Validate(); err != nil {
 			t.Fatal(err)
 		}
-		at += times.Switch + time.Duration(p.MaxLoads(next))*times.Copy
+		elapsed += timing.Switch + time.Duration(p.MaxLoads(next))*timing.Copy
 		p = next
-		t.Logf("at %s: skew %.2f", at, p.Skew(popularity, speeds))
+		t.Logf("after %s: skew %.2f", elapsed, p.Skew(popularity, speeds))
 	}
-	const most = 1.5
-	if skew := p.Skew(popularity, speeds); skew > most {
-		t.Errorf("a skew of %.2f is left, want at most %.1f", skew, most)
+	const maxSkew = 1.5
+	if skew := p.Skew(popularity, speeds); skew > maxSkew {
+		t.Errorf("skew is %.2f, want at most %.1f", skew, maxSkew)
 	}
 }
