--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -1,5 +1,5 @@
-// Package clock tells times that count what a VM was suspended, which the steady clock
-// that Go's times are compared by does not.
+// Package clock provides a clock that includes the time for which the VM was suspended. Go's
+// monotonic clock excludes it.
 package clock
 
 import (
@@ -12,73 +12,72 @@
 )
 
 const (
-	// lookPace is how long, by the steady clock, a look at the clock that counts suspensions
-	// holds: as soon after a suspension as that all times are right again. 20 looks a second
-	// at most, and none while nobody asks for the time.
-	lookPace = 50 * time.Millisecond
-	// leastSuspension is how much the clocks may drift apart without one.
-	leastSuspension = 20 * time.Millisecond
+	// checkInterval is the minimum time between reads of the boot-time clock, and thus the
+	// delay until a suspension is detected.
+	checkInterval = 50 * time.Millisecond
+	// minSuspension is the tolerated drift between the clocks.
+	minSuspension = 20 * time.Millisecond
 )
 
-// Clock is a process's. Safe for concurrent use.
+// Clock is a process's clock. It is safe for concurrent use.
 //
-// Its times are for comparing with each other only: their time of day is ahead by what the
-// VM was suspended, and the runtime's timers and deadlines don't know them.
+// Its times are valid for comparison with each other only: the time of day is ahead by the
+// suspended time, and the runtime's timers and deadlines do not follow it.
 type Clock struct {
 	steady func() time.Time
 	boot   func() (time.Duration, error)
 
-	mu sync.Mutex // a leaf
-	// startSteady and startBoot are what both showed at the start.
+	mu sync.Mutex // no other lock is taken while it is held
+	// startSteady and startBoot are the readings at the start.
 	startSteady time.Time
 	startBoot   time.Duration
-	lookedAt    time.Time
+	checkedAt   time.Time
 	suspended   time.Duration
 	onResume    func(suspended time.Duration)
 }
 
-// New returns a clock of the system. Where the system doesn't tell what suspensions take,
-// it says so once and counts none.
+// New returns a clock of the system. If the system has no boot-time clock, it logs a warning
+// and counts no suspensions.
 func New(log *logrus.Entry) *Clock {
 	c, err := NewFrom(time.Now, bootTime)
 	if err != nil {
-		log.WithError(err).Warn("suspensions of the VM aren't noticed")
+		log.WithError(err).Warn("VM suspensions are not detected")
 	}
 	return c
 }
 
-// NewFrom returns a clock of two others: one that stands still while the VM is suspended, and
-// one that tells the time since the VM's start. With an error it counts no suspensions.
+// NewFrom returns a clock based on a monotonic clock that stops during suspensions, and on the
+// time since boot. With an error, the clock is valid but counts no suspensions.
 func NewFrom(steady func() time.Time, boot func() (time.Duration, error)) (*Clock, error) {
 	first, err := boot()
 	now := steady()
-	c := &Clock{steady: steady, boot: boot, startSteady: now, startBoot: first, lookedAt: now, onResume: func(time.Duration) {}}
+	c := &Clock{steady: steady, boot: boot, startSteady: now, startBoot: first, checkedAt: now, onResume: func(time.Duration) {}}
 	if err != nil {
 		c.boot = func() (time.Duration, error) { return 0, err }
 	}
 	return c, err
 }
 
-// bootTime is the time since the VM's start, suspensions included.
+// bootTime returns the time since the VM's boot, including suspensions.
 func bootTime() (time.Duration, error) {
 	var t unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &t); err != nil {
-		return 0, errors.Wrap(err, "clock: boot time")
+		return 0, errors.Wrap(err, "clock: read boot time")
 	}
 	return time.Duration(t.Nano()), nil
 }
 
-// OnWake calls f after each suspension that is noticed, with how long it was. Call it
-// before the first Now.
+// OnResume sets a function that is called after each detected suspension with its length. Call
+// it before the first Now.
 func (c *Clock) OnResume(f func(suspended time.Duration)) { c.onResume = f }
 
-// Now returns a time that counts suspensions.
+// Now returns the current time, including suspensions.
 func (c *Clock) Now() time.Time {
 	now := c.steady()
 	c.mu.Lock()
 	before := c.suspended
-	if now.Sub(c.lookedAt) >= lookPace {
-		c.look(now)
+	if now.Sub(c.checkedAt) >= checkInterval {
+		c.checkSuspension(now)
 	}
 	suspended := c.suspended
 	c.mu.Unlock()
@@ -88,15 +87,15 @@
 	return now.Add(suspended)
 }
 
-// look compares the clocks. A boot time that can't be read is one that doesn't go on: the
-// steady clock alone counts then.
-func (c *Clock) look(now time.Time) {
-	c.lookedAt = now
+// checkSuspension compares the clocks. If the boot time cannot be read, the monotonic clock
+// alone counts.
+func (c *Clock) checkSuspension(now time.Time) {
+	c.checkedAt = now
 	boot, err := c.boot()
 	if err != nil {
-		return // it could be read at the start; nothing here can mend it
+		return // readable at the start, so this is not expected
 	}
-	if gap := boot - c.startBoot - now.Sub(c.startSteady); gap >= c.suspended+leastSuspension {
+	if gap := boot - c.startBoot - now.Sub(c.startSteady); gap >= c.suspended+minSuspension {
 		c.suspended = gap
 	}
 }
--- a/internal/eligibility/eligibility.go
+++ b/internal/eligibility/eligibility.go
@@ -1,7 +1,6 @@
-// Package eligibility holds what a start of a backend server has said of itself that
-// bars requests from it: that it wants none for a while, or that it is leaving. Its word
-// binds whatever else is believed of it: load, health and the need of another server are
-// reasons to prefer one server to another, never to send against its word.
+// Package eligibility tracks whether a backend server incarnation has excluded itself from
+// requests: for a while, or because it is leaving. An exclusion is binding; load and health
+// affect only the choice among eligible servers.
 package eligibility
 
 import (
@@ -11,36 +10,34 @@
 	"github.com/crowbridge/crowbridge/internal/failure"
 )
 
-// MaxRest is the longest rest that a server is believed to want, so that a wrong unit
-// doesn't lose it for good: a day, after which one request asks it again. Operators take
-// a server away that is to get nothing for longer.
+// MaxRest bounds a requested rest, so that a wrong unit does not exclude a server permanently.
 const MaxRest = 24 * time.Hour
 
-// Reason is why a server may get no requests.
+// Reason is the reason of an exclusion.
 type Reason string
 
-// The reasons.
 const (
-	// Resting servers have asked for no requests for a time.
+	// Resting servers requested a pause.
 	Resting Reason = "resting"
-	// Leaving servers have said that they leave: they get none before their next start.
+	// Leaving servers announced that they shut down. The exclusion lasts until the next
+	// incarnation.
 	Leaving Reason = "leaving"
-	// Limited servers have named a limit, of which nothing is left now.
+	// Limited servers reported a rate limit that is exhausted.
 	Limited Reason = "limited"
-	// Full servers have as many connections of this daemon as are its part.
+	// Full servers have reached this daemon's connection quota.
 	Full Reason = "full"
 )
 
-// Bar says that a server may get no requests now.
+// Exclusion states that a server may receive no requests now.
 type Exclusion struct {
 	Reason Reason
-	// Left is how long it holds still; 0 when only the server's next start ends it.
+	// Remaining is the time until the exclusion ends; 0 if only the next incarnation ends it.
 	Remaining time.Duration
 }
 
-// Code is what callers of a request are told that was held back.
-func (b *Exclusion) Code() failure.Code {
-	switch b.Reason {
+// Code returns the failure code for callers.
+func (e *Exclusion) Code() failure.Code {
+	switch e.Reason {
 	case Leaving:
 		return failure.CodeLeaving
 	case Limited:
@@ -52,68 +49,68 @@
 	return failure.CodeResting
 }
 
-// String says it for people.
-func (b *Exclusion) String() string {
-	switch b.Reason {
+// String returns a description for callers and operators.
+func (e *Exclusion) String() string {
+	switch e.Reason {
 	case Leaving:
-		return "the server has said that it leaves"
+		return "the server is leaving"
 	case Limited:
-		return fmt.Sprintf("the server's limit allows no request for %s", b.Remaining.Round(time.Millisecond))
+		return fmt.Sprintf("the server's rate limit is exhausted for %s", e.Remaining.Round(time.Millisecond))
 	case Full:
-		return "this daemon has its part of the server's connections"
+		return "this daemon's connection quota for the server is exhausted"
 	case Resting:
 	}
-	return fmt.Sprintf("the server has asked for rest, %s of it left", b.Remaining.Round(time.Millisecond))
+	return fmt.Sprintf("the server is resting for another %s", e.Remaining.Round(time.Millisecond))
 }
 
-// BarredError says that nothing was sent to a server because of its word.
+// ExcludedError reports that nothing was sent to a server because it is excluded.
 type ExcludedError struct{ Exclusion *Exclusion }
 
 // Error implements error.
 func (e *ExcludedError) Error() string { return e.Exclusion.String() }
 
-// Notice is what one start of a server has said of itself. The zero value is that of one
-// that has said nothing. Not safe for concurrent use.
+// Report is what one incarnation of a server has reported about itself. The zero value has no
+// report. It is not safe for concurrent use.
 //
-// Invariant: a bar in force ends at its time only. No answer of the server that isn't a
-// later word, no success and no shorter rest ends it sooner.
+// Invariant: an exclusion lasts until its end. Neither a successful response nor a shorter
+// rest ends it sooner.
 type Report struct {
 	restUntil time.Time
 	leaving   bool
-	// saidAt is when it said something last.
+	// reportedAt is the time of the last report.
 	reportedAt time.Time
 }
 
-// AskForRest takes in that the server wants no requests for a time from now on. It
-// returns for how long it gets none now.
-func (n *Report) RecordRest(rest time.Duration, now time.Time) time.Duration {
+// RecordRest records that the server requested a rest from now on. It returns the remaining
+// rest.
+func (r *Report) RecordRest(rest time.Duration, now time.Time) time.Duration {
 	if rest > 0 {
-		n.reportedAt = now
-		if until := now.Add(min(rest, MaxRest)); until.After(n.restUntil) {
-			n.restUntil = until
+		r.reportedAt = now
+		if until := now.Add(min(rest, MaxRest)); until.After(r.restUntil) {
+			r.restUntil = until
 		}
 	}
-	return max(n.restUntil.Sub(now), 0)
+	return max(r.restUntil.Sub(now), 0)
 }
 
-// Leave takes in that the server leaves. It returns whether that is news.
-func (n *Report) MarkLeaving(now time.Time) bool {
-	news := !n.leaving
-	n.leaving, n.reportedAt = true, now
-	return news
+// MarkLeaving records that the server is leaving. It reports whether this is a change.
+func (r *Report) MarkLeaving(now time.Time) bool {
+	changed := !r.leaving
+	r.leaving, r.reportedAt = true, now
+	return changed
 }
 
-// Bar returns why the server may get no requests now, or nil.
-func (n *Report) Exclusion(now time.Time) *Exclusion {
+// Exclusion returns why the server may receive no requests now, or nil.
+func (r *Report) Exclusion(now time.Time) *Exclusion {
 	switch {
-	case n.leaving:
+	case r.leaving:
 		return &Exclusion{Reason: Leaving}
-	case now.Before(n.restUntil):
-		return &Exclusion{Reason: Resting, Remaining: n.restUntil.Sub(now)}
+	case now.Before(r.restUntil):
+		return &Exclusion{Reason: Resting, Remaining: r.restUntil.Sub(now)}
 	default:
 		return nil
 	}
 }
 
-// SaidAt is when the server said something last; zero when it never did.
-func (n *Report) ReportedAt() time.Time { return n.reportedAt }
+// ReportedAt returns the time of the last report; zero if there was none.
+func (r *Report) ReportedAt() time.Time { return r.reportedAt }
--- a/internal/entry/entry_test.go
+++ b/internal/entry/entry_test.go
@@ -116,7 +116,7 @@
 		}
 		_, reasons, err := f.entry.Explain("tulipan", "", "/dispatch/x")
 		Expect(err).NotTo(HaveOccurred())
-		Expect(reasons["dispatch-1"]).To(ContainSubstring("has asked for rest"))
+		Expect(reasons["dispatch-1"]).To(ContainSubstring("is resting"))
 	})
 
 	It("accounts for every request with exactly one outcome", func() {
--- a/internal/group/trail.go
+++ b/internal/group/audittrail.go
@@ -12,15 +12,15 @@
 )
 
 const (
-	// trailQueue is how many events may wait for the store; what is over is in the
-	// process's own log only.
+	// auditQueueSize bounds the events that wait for the store. Further events are only
+	// logged.
 	auditQueueSize = 64
-	// trailTimeout bounds one append.
+	// auditTimeout bounds one append.
 	auditTimeout = 2 * time.Second
 )
 
-// Trail puts the leases that this daemon claims and the map changes that it
-// brings about onto the audit trail. It implements ranks.Trail.
+// AuditTrail records this daemon's leases and map changes on the audit trail. It implements
+// ranks.AuditTrail.
 type AuditTrail struct {
 	daemon string
 	log    replica.Log
@@ -28,17 +28,17 @@
 	events chan *config.Event
 }
 
-// NewTrail returns the trail of a daemon.
+// NewAuditTrail returns a daemon's audit trail.
 func NewAuditTrail(daemon string, log replica.Log, logger *logrus.Entry) *AuditTrail {
 	return &AuditTrail{daemon: daemon, log: log, logger: logger, events: make(chan *config.Event, auditQueueSize)}
 }
 
-// Claimed implements ranks.Trail.
+// LeaseClaimed implements ranks.AuditTrail.
 func (t *AuditTrail) LeaseClaimed(group string, fence int64) {
 	t.enqueue(config.AuditLease, group, fmt.Sprintf("fence %d", fence))
 }
 
-// Changed implements ranks.Trail.
+// MapChanged implements ranks.AuditTrail.
 func (t *AuditTrail) MapChanged(group string, change experts.MapChange) {
 	t.enqueue(config.AuditMap, group, fmt.Sprintf("map %d from pass %d of epoch %d, %d experts loaded or dropped, fence %d",
 		change.Version, change.Pass, change.Epoch, change.Moves, change.Fence))
@@ -49,11 +49,11 @@
 	select {
 	case t.events <- event:
 	default:
-		t.logger.WithField("event", detail).Warn("left out of the audit trail: too much is waiting")
+		t.logger.WithField("event", detail).Warn("audit queue full, event dropped")
 	}
 }
 
-// Run appends what was noted until the context ends.
+// Run appends queued events until ctx ends.
 func (t *AuditTrail) Run(ctx context.Context) {
 	for {
 		select {
@@ -74,6 +74,6 @@
 		_, err = t.log.Append(ctx, data)
 	}
 	if err != nil {
-		t.logger.WithError(err).WithField("event", event.Detail).Warn("not confirmed on the audit trail")
+		t.logger.WithError(err).WithField("event", event.Detail).Warn("failed to append audit event")
 	}
 }
--- a/internal/group/directory.go
+++ b/internal/group/directory.go
@@ -1,5 +1,5 @@
-// Package group tells the agents of ranks what the operators' configuration says
-// of their groups, and the audit trail what became of the groups' expert maps.
+// Package group provides group configuration to the ranks' leaders, and records leases and
+// expert map changes on the audit trail.
 package group
 
 import (
@@ -11,13 +11,12 @@
 	"github.com/pkg/errors"
 )
 
-// Directory finds groups and their ranks in the configuration. It implements
-// ranks.Directory.
+// Directory looks up groups and ranks in the configuration. It implements ranks.Directory.
 type Directory struct {
 	Replica *replica.Replica
 }
 
-// Place implements ranks.Directory.
+// Endpoints implements ranks.Directory.
 func (d Directory) Endpoints(group string, rank int) (ranks.Endpoints, error) {
 	for _, object := range d.Replica.View().List(config.KindBackendServer) {
 		server := object.BackendServer
@@ -28,11 +27,10 @@
 	return ranks.Endpoints{}, errors.Errorf("no backend server is configured as rank %d of group %s", rank, group)
 }
 
-// defaultMaxLoads is how many experts of a layer a rank may load for one map
-// when the operators don't say: what the users' engines take.
+// defaultMaxLoads is the default number of experts per layer that a rank may load for one map.
 const defaultMaxLoads = 2
 
-// Terms implements ranks.Directory.
+// Parameters implements ranks.Directory.
 func (d Directory) Parameters(name string) (ranks.Parameters, bool) {
 	object := d.Replica.View().Get(config.KindGroup, name)
 	if object == nil {
--- a/internal/wait/wait.go
+++ b/internal/wait/wait.go
@@ -1,4 +1,4 @@
-// Package wait pauses until a time is over or a context ends.
+// Package wait provides context-aware pauses.
 package wait
 
 import (
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// For pauses for a duration. It returns false when the context ended first.
+// For waits for the duration and returns true, or returns false if ctx ends first.
 func For(ctx context.Context, d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
