--- a/internal/replica/follow.go
+++ b/internal/replica/follow.go
@@ -13,36 +13,35 @@
 )
 
 const (
-	// defaultWait is how long one read waits for new records.
+	// defaultPollTimeout is how long one read waits for new records.
 	defaultPollTimeout = time.Second
-	// firstWait is used instead until the log has been heard of, so that a fresh VM
-	// soon knows whether there is a configuration.
+	// initialPollTimeout applies until the log has been read, so that a new VM quickly finds out
+	// whether a configuration exists.
 	initialPollTimeout = 50 * time.Millisecond
-	// staleMargin is by how much a source's news may be older than a read waits before
-	// it is given up for the next.
+	// staleMargin is the LogAge beyond the poll timeout at which a source is abandoned for the next
+	// one.
 	staleMargin = 3 * time.Second
-	// readTimeout bounds a read beyond its wait; firstTimeout does until the log has
-	// been heard of, so that another source is asked soon.
+	// readTimeout limits a read beyond its wait; initialReadTimeout is the total limit until the
+	// log has been read, so that the next source is tried soon.
 	readTimeout        = 2 * time.Second
 	initialReadTimeout = 500 * time.Millisecond
 	minBackoff         = 100 * time.Millisecond
 	maxBackoff         = 2 * time.Second
 )
 
-// rotation chooses the source to read from: the first of the list that answers
-// and isn't stale. It comes back to the first one from time to time, so that a
-// daemon that had to go elsewhere doesn't stay there for good.
+// rotation selects the source to read from: the first one that responds and isn't stale. It
+// periodically returns to the first source.
 type rotation struct {
 	sources    int
 	current    int
-	failures   int // in a row
+	failures   int // consecutive
 	switchedAt time.Time
 }
 
-// preferAgain is how long after a move the first source is tried again.
+// preferFirstAfter is the time after a switch at which the first source is tried again.
 const preferFirstAfter = 30 * time.Second
 
-// good notes that the present source answered and isn't stale.
+// recordSuccess records that the current source responded and isn't stale.
 func (t *rotation) recordSuccess(now time.Time) {
 	t.failures = 0
 	if t.current != 0 && now.Sub(t.switchedAt) >= preferFirstAfter {
@@ -50,8 +49,8 @@
 	}
 }
 
-// bad moves on to the next source, and returns how long to pause before it's
-// asked: not at all until all have failed.
+// recordFailure moves on to the next source. It returns the delay before the next read, which is
+// zero until all sources have failed.
 func (t *rotation) recordFailure(now time.Time) time.Duration {
 	t.current = (t.current + 1) % t.sources
 	t.switchedAt = now
@@ -62,34 +61,34 @@
 	return backoff(t.failures / t.sources)
 }
 
-// Follow keeps the replica up to date until the context ends. When all sources
-// are stale it goes round them, so that whoever hears from the log first is found.
+// Follow keeps the replica up to date until the context ends. If all sources are stale, it rotates
+// through them, so that the first one to reach the log again is found.
 func (r *Replica) Follow(ctx context.Context, sources []Source, log *logrus.Entry) {
-	rotation := rotation{sources: len(sources)}
+	rot := rotation{sources: len(sources)}
 	for ctx.Err() == nil {
-		source := sources[rotation.current]
+		source := sources[rot.current]
 		age, err := r.followOnce(ctx, source, log)
 		if errors.Is(err, errReadRestarted) {
-			rotation.current = 0
+			rot.current = 0
 			continue
 		}
 		if err == nil && age < r.pollTimeout+staleMargin {
-			rotation.recordSuccess(r.now())
+			rot.recordSuccess(r.now())
 			continue
 		}
 		if err != nil && ctx.Err() == nil {
 			log.WithError(err).WithField("source", source.Name()).Debug("read failed")
 		}
-		if pause := rotation.recordFailure(r.now()); pause > 0 {
+		if pause := rot.recordFailure(r.now()); pause > 0 {
 			wait.For(ctx, jitter(pause))
 		}
 	}
 }
 
-// errReread ends a read whose source is to be the first one again.
-var errReadRestarted = errors.New("the first source is read again")
+// errReadRestarted is returned by a read that was interrupted to start again with the first source.
+var errReadRestarted = errors.New("read restarted with the first source")
 
-// followOnce reads once from a source. It returns how long ago the log was heard of there.
+// followOnce reads once from a source. It returns the source's LogAge.
 func (r *Replica) followOnce(ctx context.Context, source Source, log *logrus.Entry) (time.Duration, error) {
 	wait := r.readTrust.MaxWait(r.pollTimeout, r.now())
 	timeout := wait + readTimeout
@@ -132,8 +131,8 @@
 	return batch.LogAge, r.Apply(batch)
 }
 
-// heal takes a snapshot from a source that no longer has the records we need, unless that is
-// the log and it has come back in another era.
+// catchUp installs a snapshot from a source that no longer has the next record. If the source is
+// the log and is in a newer era, it carries the state over instead.
 func (r *Replica) catchUp(ctx context.Context, source Source, log *logrus.Entry) error {
 	if s, ok := source.(LogSource); ok {
 		entered, err := r.carryOver(ctx, s.Log, log)
@@ -146,7 +145,7 @@
 		return err
 	}
 	if !r.InstallState(state) {
-		return errors.Errorf("%s offers a state no newer than ours", source.Name())
+		return errors.Errorf("%s: state isn't newer than this replica's", source.Name())
 	}
 	return nil
 }
@@ -155,15 +154,14 @@
 	return min(minBackoff<<min(round, 5), maxBackoff)
 }
 
-// jitter spreads a delay over half to the whole of it, so that many daemons
-// that lost the same source don't return at once.
+// jitter returns between half and all of a delay, so that daemons that lost the same source don't
+// return in step.
 func jitter(d time.Duration) time.Duration {
 	return d/2 + rand.N(d/2+1)
 }
 
-// LogSource reads the platform's log.
+// LogSource reads from the platform's log.
 type LogSource struct {
-	// Log is the platform's log service.
 	Log Log
 }
 
@@ -179,14 +177,14 @@
 	return Batch{Entries: entries}, err
 }
 
-// State implements Source: it returns the state that lasts on the store.
+// State implements Source. It returns the state that is persisted in the store.
 func (s LogSource) State(ctx context.Context) (*config.State, error) {
 	snapshot, err := s.Log.LoadSnapshot(ctx)
 	if err != nil {
 		return nil, err
 	}
 	if snapshot == nil {
-		return nil, errors.New("the store keeps no state")
+		return nil, errors.New("the store has no snapshot")
 	}
 	return config.DecodeSnapshot(snapshot)
 }
--- a/internal/replica/peer.go
+++ b/internal/replica/peer.go
@@ -19,7 +19,8 @@
 	client  rpc.Peers
 }
 
-// NewPeerSource returns a source for the daemon whose control port is at address.
+// NewPeerSource returns a source for the daemon at a control address. daemon is the name of the
+// caller.
 func NewPeerSource(address, daemon string, client *http.Client) *PeerSource {
 	return &PeerSource{
 		address: address,
@@ -38,7 +39,7 @@
 		return Batch{}, errors.Wrap(err, p.Name())
 	}
 	if known := storelog.Position(reply.Offset); known.Era() < after.Era() {
-		return Batch{}, errors.Errorf("%s: it knows the log up to %s, in a former era than %s", p.Name(), known, after)
+		return Batch{}, errors.Errorf("%s: peer is at %s, in an older era than %s", p.Name(), known, after)
 	}
 	batch := Batch{Gone: reply.Gone, LogAge: time.Duration(reply.LogAgeMs) * time.Millisecond}
 	for _, r := range reply.Records {
@@ -59,15 +60,14 @@
 
 // PeerServer serves a replica to other daemons.
 type PeerServer struct {
-	// Replica is what is served.
 	Replica *Replica
-	// Log takes the records of agents; nil where there's none.
+	// Log receives the records of agents; nil if this daemon doesn't write to the log.
 	Log Log
-	// OnPeerPosition is told the offset of each daemon that asks; it may be nil.
+	// OnPeerPosition is called with the position of each daemon that requests records; may be nil.
 	OnPeerPosition func(daemon string, offset int64)
 }
 
-// maxPeerWait bounds how long a peer may make us wait.
+// maxPeerWait limits the wait that a peer can request.
 const maxPeerWait = 10 * time.Second
 
 // Records implements rpc.Peers.
@@ -79,7 +79,7 @@
 	wait := min(time.Duration(request.WaitMs)*time.Millisecond, maxPeerWait)
 	waitCtx, cancel := context.WithTimeout(ctx, wait)
 	defer cancel()
-	// A timeout is a normal answer without records.
+	// A timeout yields a response without records.
 	_ = s.Replica.Wait(waitCtx, func() bool { return s.Replica.Position() > after })
 	return toReply(s.Replica.EntriesAfter(after), s.Replica.Position()), nil
 }
@@ -92,8 +92,7 @@
 	return reply
 }
 
-// Append implements rpc.Peers: it relays a record of an agent, which has no way
-// to the log of its own.
+// Append implements rpc.Peers. It forwards a record of an agent, which has no access to the log.
 func (s *PeerServer) Append(ctx context.Context, request *rpc.AppendRequest) (*rpc.AppendReply, error) {
 	record, err := config.DecodeRecord(request.Record)
 	if err != nil || record.Kind != config.RecordAgent {
--- a/internal/replica/persist.go
+++ b/internal/replica/persist.go
@@ -12,41 +12,41 @@
 )
 
 const (
-	// keepPace is the time between looks whether the state is to be kept. Each daemon
-	// waits up to twice as long at random, so that usually one writes.
+	// persistInterval is the minimum time between checks whether to persist the state. Each daemon
+	// waits up to twice as long at random, so that usually only one writes.
 	persistInterval = time.Second
-	// keepAtLeast is how often the state is kept although only events have come since:
-	// well below the time for which the log keeps records, 300 s at the users'.
+	// maxPersistInterval is how often the state is persisted if only events were recorded. It must
+	// be well below the log's retention, which is 300 s in the users' deployment.
 	maxPersistInterval = 60 * time.Second
-	// keepTimeout bounds one try.
+	// persistTimeout limits one attempt.
 	persistTimeout = 3 * time.Second
 )
 
-// keeper decides when a replica's state has to be kept.
+// snapshotSchedule decides when to persist a replica's state.
 type snapshotSchedule struct {
 	position    storelog.Position
 	configured  int64
 	persistedAt time.Time
 }
 
-// due tells whether a view is to be kept now: soon after a change and in another era of the
-// log, whose copy of the kept state is older, and from time to time after other records.
-func (k *snapshotSchedule) due(now time.Time, view *config.View) bool {
+// due reports whether to persist a view now: at once after a change or in a new era, whose
+// persisted snapshot is older, and otherwise periodically if there were other records.
+func (s *snapshotSchedule) due(now time.Time, view *config.View) bool {
 	if view.Position.Offset() < 0 {
 		return false
 	}
-	if view.Configured > k.configured || view.Position.Era() > k.position.Era() {
-		return view.Position > k.position
+	if view.Configured > s.configured || view.Position.Era() > s.position.Era() {
+		return view.Position > s.position
 	}
-	return view.Position > k.position && now.Sub(k.persistedAt) >= maxPersistInterval
+	return view.Position > s.position && now.Sub(s.persistedAt) >= maxPersistInterval
 }
 
-func (k *snapshotSchedule) recordPersisted(now time.Time, view *config.View) {
-	k.position, k.configured, k.persistedAt = view.Position, view.Configured, now
+func (s *snapshotSchedule) recordPersisted(now time.Time, view *config.View) {
+	s.position, s.configured, s.persistedAt = view.Position, view.Configured, now
 }
 
-// PersistSnapshots puts the replica's state where it lasts whenever it has changed, until the
-// context ends. Several daemons may do so: an older state never replaces a newer one.
+// PersistSnapshots writes the state to the store whenever it has changed, until the context ends.
+// Several daemons may do so concurrently: an older state never replaces a newer one.
 func (r *Replica) PersistSnapshots(ctx context.Context, log Log, logger *logrus.Entry) {
 	schedule := snapshotSchedule{position: storelog.Unknown, configured: config.NoOffset, persistedAt: r.now()}
 	for wait.For(ctx, persistInterval+rand.N(persistInterval)) {
@@ -55,11 +55,11 @@
 			continue
 		}
 		if err := r.persistOnce(ctx, log); err != nil {
-			logger.WithError(err).WithField("position", view.Position.String()).Warn("state not kept on the store; trying again")
+			logger.WithError(err).WithField("position", view.Position.String()).Warn("failed to persist the state; retrying")
 			continue
 		}
 		schedule.recordPersisted(r.now(), view)
-		logger.WithField("position", view.Position.String()).Info("state kept on the store")
+		logger.WithField("position", view.Position.String()).Info("state persisted")
 	}
 }
 
--- a/internal/replica/persist_test.go
+++ b/internal/replica/persist_test.go
@@ -9,21 +9,21 @@
 	. "github.com/onsi/gomega"
 )
 
-var _ = Describe("keeping the state", func() {
-	It("follows a change at once, and other records from time to time", func() {
+var _ = Describe("persisting the state", func() {
+	It("happens at once after a change, and periodically after other records", func() {
 		now := time.Unix(1000, 0)
-		k := snapshotSchedule{position: storelog.Unknown, configured: config.NoOffset, persistedAt: now}
+		schedule := snapshotSchedule{position: storelog.Unknown, configured: config.NoOffset, persistedAt: now}
 		view := &config.View{Position: storelog.Unknown, Configured: config.NoOffset}
-		Expect(k.due(now.Add(time.Hour), view)).To(BeFalse(), "nothing to keep")
+		Expect(schedule.due(now.Add(time.Hour), view)).To(BeFalse(), "nothing to persist")
 		view = &config.View{Position: 0, Configured: 0}
-		Expect(k.due(now, view)).To(BeTrue())
-		k.recordPersisted(now, view)
-		Expect(k.due(now.Add(time.Hour), view)).To(BeFalse())
+		Expect(schedule.due(now, view)).To(BeTrue())
+		schedule.recordPersisted(now, view)
+		Expect(schedule.due(now.Add(time.Hour), view)).To(BeFalse())
 		view = &config.View{Position: 4, Configured: 0}
-		Expect(k.due(now.Add(maxPersistInterval-time.Second), view)).To(BeFalse())
-		Expect(k.due(now.Add(maxPersistInterval), view)).To(BeTrue())
-		k.recordPersisted(now.Add(maxPersistInterval), view)
+		Expect(schedule.due(now.Add(maxPersistInterval-time.Second), view)).To(BeFalse())
+		Expect(schedule.due(now.Add(maxPersistInterval), view)).To(BeTrue())
+		schedule.recordPersisted(now.Add(maxPersistInterval), view)
 		view = &config.View{Position: 5, Configured: 5}
-		Expect(k.due(now.Add(maxPersistInterval), view)).To(BeTrue())
+		Expect(schedule.due(now.Add(maxPersistInterval), view)).To(BeTrue())
 	})
 })
--- a/internal/replica/replica.go
+++ b/internal/replica/replica.go
@@ -1,5 +1,5 @@
-// Package replica keeps one process's copy of the folded configuration: it
-// follows the log, or peers that do, and serves what it has to others.
+// Package replica maintains a process's replica of the configuration state. A replica follows the
+// log, or peers that do, and serves its records and state to other processes.
 package replica
 
 import (
@@ -14,75 +14,74 @@
 	"github.com/pkg/errors"
 )
 
-// Batch is what a Source returned.
+// Batch is the result of a read from a Source.
 type Batch struct {
 	Entries []config.LogEntry
-	// Gone is set when the source no longer has the record after the asked position, or is in
+	// Gone is set if the source no longer has the record after the requested position, or is in
 	// another era of the log.
 	Gone bool
-	// LogAge is how long ago the source, or whoever it reads from, last heard
-	// from the log itself. Ages add up along the way; no clocks are compared.
+	// LogAge is the time since the end of the log was last read, by the source or the process that
+	// it reads from. Ages add up hop by hop, so no clocks are compared.
 	LogAge time.Duration
 }
 
-// Source is where records come from: the log, or a peer.
+// Source provides records and states: the log or a peer.
 type Source interface {
-	// Name identifies the source in logs.
+	// Name returns the source's name for logs.
 	Name() string
-	// Records returns the records after a position, waiting for the first.
+	// Records returns the records after a position. It waits for the first one.
 	Records(ctx context.Context, after storelog.Position, wait time.Duration) (Batch, error)
-	// State returns a snapshot, for a process whose history fell off the log.
+	// State returns a snapshot for a replica whose next record is gone.
 	State(ctx context.Context) (*config.State, error)
 }
 
-// recentRecords is how many records a replica keeps for its peers.
+// recentRecords is how many records a replica retains for its peers.
 const recentRecords = 4096
 
-// Replica is the process's copy. Invariants: its position never falls, and its view loses
-// no change that was in it. It is safe for concurrent use; its lock is a leaf: no other lock
-// is taken under it.
+// Replica is a process's replica of the configuration. Its position never decreases, and its view
+// never loses an applied change. It is safe for concurrent use; no other lock is acquired while its
+// lock is held.
 type Replica struct {
 	mu    sync.Mutex
 	state *config.State
-	// recent are records of the state's era, up to its position.
+	// recent holds records of the state's era, up to its position.
 	recent []config.LogEntry
-	// formerChanges are changes that were known in former eras of the log.
+	// priorEraChanges holds changes that were applied in prior eras of the log.
 	priorEraChanges []config.RecentChange
-	// heldUntil is until when the view isn't replaced by one that lacks them.
+	// viewHeldUntil is the time until which the view isn't replaced by one without priorEraChanges.
 	viewHeldUntil time.Time
 	changed       chan struct{}
-	confirmed     time.Time // when the end of the log was last heard of
+	confirmed     time.Time // when the end of the log was last read
 	now           func() time.Time
-	pollTimeout   time.Duration // of one read for new records
+	pollTimeout   time.Duration // per read
 	readTrust     longpoll.Trust
-	peerAhead     chan struct{} // ends a read that is silent about what a peer knows
-	restartRead   chan struct{} // ends a read that may hang, and goes back to the first source
+	peerAhead     chan struct{} // ends a read that misses what a peer has
+	restartRead   chan struct{} // ends the current read and returns to the first source
 
 	view atomic.Pointer[config.View]
 }
 
-// New returns a replica that has folded nothing.
+// New returns a replica before the first record.
 func New(now func() time.Time) *Replica {
 	r := &Replica{state: config.NewState(), changed: make(chan struct{}), now: now, pollTimeout: defaultPollTimeout, peerAhead: make(chan struct{}, 1), restartRead: make(chan struct{}, 1)}
 	r.view.Store(r.state.View())
 	return r
 }
 
-// SetPollTimeout changes how long one read waits for new records, where each read is paid
-// for. It is called before Follow.
+// SetPollTimeout sets how long one read waits for new records. It must be called before Follow.
 func (r *Replica) SetPollTimeout(timeout time.Duration) { r.pollTimeout = timeout }
 
-// View returns the configuration in force here.
+// View returns the current configuration.
 func (r *Replica) View() *config.View { return r.view.Load() }
 
-// Changed returns a channel that is closed at the next change.
+// Changed returns a channel that is closed on the next change.
 func (r *Replica) Changed() <-chan struct{} {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.changed
 }
 
-// Apply takes in a batch.
+// Apply applies the records of a batch.
 func (r *Replica) Apply(batch Batch) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -109,8 +108,8 @@
 	return nil
 }
 
-// InstallState replaces the state by a snapshot when that is ahead; an older one is
-// refused, so nothing reverts.
+// InstallState replaces the state by a newer one. It reports whether it did so: an older one is
+// ignored, so that nothing reverts.
 func (r *Replica) InstallState(state *config.State) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -131,7 +130,7 @@
 }
 
 func (r *Replica) publish() {
-	if len(r.missing()) == 0 || !r.now().Before(r.viewHeldUntil) {
+	if len(r.missingChanges()) == 0 || !r.now().Before(r.viewHeldUntil) {
 		r.priorEraChanges = nil
 		r.view.Store(r.state.View())
 	}
@@ -146,11 +145,11 @@
 	}
 }
 
-// Next is the position after the last record that is folded.
+// Next returns the position after the last applied record.
 func (r *Replica) Next() storelog.Position { return r.Position() + 1 }
 
-// ObservePeerPosition takes in the position up to which a peer knows the log. A read that is still
-// silent about it after a while is ended: the log may have left it deaf.
+// ObservePeerPosition records the next position of a peer. If this replica hasn't caught up after a
+// grace period, its current read is ended, since it may miss records.
 func (r *Replica) ObservePeerPosition(next storelog.Position) {
 	if next <= r.Next() {
 		return
@@ -162,22 +161,22 @@
 		r.readTrust.Revoke(r.now())
 		select {
 		case r.peerAhead <- struct{}{}:
-		default: // it's about to end
+		default: // already pending
 		}
 	})
 }
 
-// Position is up to where the log has been folded.
+// Position returns the position of the last applied record.
 func (r *Replica) Position() storelog.Position {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.state.Position
 }
 
-// neverConfirmed is the age reported before the log was first heard of.
+// neverConfirmed is the age reported before the end of the log was first read.
 const neverConfirmed = 365 * 24 * time.Hour
 
-// LogAge is how long ago the end of the log was last heard of.
+// LogAge returns the time since the end of the log was last read.
 func (r *Replica) LogAge() time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -191,10 +190,10 @@
 	return r.now().Sub(r.confirmed)
 }
 
-// HasSynced tells whether the log has been heard of since the start.
+// HasSynced reports whether the end of the log has been read since the start.
 func (r *Replica) HasSynced() bool { return r.LogAge() < neverConfirmed }
 
-// EntriesAfter returns the records kept after a position, for a peer.
+// EntriesAfter returns the retained records after a position.
 func (r *Replica) EntriesAfter(known storelog.Position) Batch {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -211,7 +210,7 @@
 	return batch
 }
 
-// Result returns what became of a command.
+// Result returns the result of a command.
 func (r *Replica) Result(commandID string) (config.Result, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -222,7 +221,7 @@
 // Agent returns the last recorded run of a server's agent.
 func (r *Replica) Agent(server string) (config.AgentRun, bool) { return r.View().Agent(server) }
 
-// Check tells whether a bundle would be accepted now.
+// Check returns the reason why a bundle would be rejected now, or nil.
 func (r *Replica) Check(bundle *config.Bundle) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -242,7 +241,7 @@
 	return found
 }
 
-// Hash returns the hash of the folded state.
+// Hash returns the position and the hash of the state.
 func (r *Replica) Hash() (storelog.Position, string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -257,8 +256,8 @@
 	return data, r.state.Position, err
 }
 
-// Wait blocks until the condition holds or the context ends. The condition is
-// looked at after each change.
+// Wait blocks until the condition holds or the context ends. The condition is evaluated after each
+// change.
 func (r *Replica) Wait(ctx context.Context, condition func() bool) error {
 	for {
 		changed := r.Changed()
--- a/internal/replica/replica_test.go
+++ b/internal/replica/replica_test.go
@@ -44,8 +44,8 @@
 	down      atomic.Bool
 	age       atomic.Int64 // milliseconds
 	asked     atomic.Int64
-	waited    atomic.Int64 // the last read's wait
-	truncated bool         // records were dropped; only a snapshot is left
+	waited    atomic.Int64 // wait of the last read
+	truncated bool         // only a snapshot is left
 }
 
 func (f *fakeSource) Name() string { return f.name }
@@ -72,7 +72,7 @@
 	return config.DecodeSnapshot(data)
 }
 
-// deafSource hears of nothing while a read waits.
+// stalledSource returns no records.
 type stalledSource struct{ *fakeSource }
 
 func (s *stalledSource) Records(ctx context.Context, _ storelog.Position, wait time.Duration) (Batch, error) {
@@ -94,9 +94,9 @@
 }
 
 var _ = Describe("a replica", func() {
-	It("doesn't believe its source's silence for long after a read that failed or found its records gone", func() {
+	It("shortens its reads for a while after one that failed or found its records gone", func() {
 		now := time.Unix(1000, 0)
-		for _, trouble := range []func(*fakeSource){
+		for _, fail := range []func(*fakeSource){
 			func(f *fakeSource) { f.down.Store(true) }, func(f *fakeSource) { f.truncated = true },
 		} {
 			r := upTo(1)
@@ -104,10 +104,10 @@
 			r.SetPollTimeout(28 * time.Second)
 			source := &fakeSource{name: "log", from: upTo(2)}
 			step := func() time.Duration {
-				_, _ = r.followOnce(context.Background(), source, logrus.NewEntry(logrus.New())) // how long it waited counts
+				_, _ = r.followOnce(context.Background(), source, logrus.NewEntry(logrus.New())) // only the wait matters
 				return time.Duration(source.waited.Load())
 			}
-			trouble(source)
+			fail(source)
 			Expect(step()).To(Equal(28 * time.Second))
 			source.down.Store(false)
 			source.truncated = false
@@ -117,18 +117,18 @@
 		}
 	})
 
-	It("ends a read that is silent about what a peer knows", func() {
+	It("ends a read that misses what a peer has", func() {
 		r := upTo(1)
 		r.SetPollTimeout(28 * time.Second)
-		deaf := &stalledSource{&fakeSource{name: "log", from: upTo(1)}}
-		follow(r, deaf, &fakeSource{name: "peer", from: upTo(4)})
+		stalled := &stalledSource{&fakeSource{name: "log", from: upTo(1)}}
+		follow(r, stalled, &fakeSource{name: "peer", from: upTo(4)})
 		r.ObservePeerPosition(2)
-		Consistently(r.Position, 2*longpoll.PeerAheadGrace).Should(Equal(storelog.Position(1)), "it's known here too")
+		Consistently(r.Position, 2*longpoll.PeerAheadGrace).Should(Equal(storelog.Position(1)), "no newer than this replica")
 		r.ObservePeerPosition(5)
 		Eventually(r.Position, "5s").Should(Equal(storelog.Position(4)))
 	})
 
-	It("never adopts an older state", func() {
+	It("never installs an older state", func() {
 		r := upTo(5)
 		older, _, err := upTo(3).Snapshot()
 		Expect(err).NotTo(HaveOccurred())
@@ -138,13 +138,13 @@
 		Expect(r.Position()).To(Equal(storelog.Position(5)))
 	})
 
-	It("refuses records that leave a gap, and ignores those it has", func() {
+	It("rejects records after a gap and ignores duplicates", func() {
 		r := upTo(3)
 		Expect(r.Apply(Batch{Entries: []config.LogEntry{entryAt(2), entryAt(5)}})).To(MatchError(config.ErrGap))
 		Expect(r.Position()).To(Equal(storelog.Position(3)))
 	})
 
-	It("goes to the next source when one is down or stale, and back", func() {
+	It("switches sources when one is down or stale, and returns", func() {
 		first := &fakeSource{name: "first", from: upTo(4)}
 		second := &fakeSource{name: "second", from: upTo(9)}
 		first.age.Store((defaultPollTimeout + staleMargin).Milliseconds() + 1)
@@ -158,68 +158,68 @@
 		Expect(r.Position()).To(Equal(storelog.Position(9)))
 	})
 
-	It("heals from a snapshot when its history is gone", func() {
+	It("installs a snapshot when its next record is gone", func() {
 		source := &fakeSource{name: "peer", from: upTo(9), truncated: true}
 		r := upTo(2)
 		follow(r, source)
 		Eventually(r.Position, "5s").Should(Equal(storelog.Position(9)))
-		_, mine := r.Hash()
-		_, theirs := source.from.Hash()
-		Expect(mine).To(Equal(theirs))
+		_, got := r.Hash()
+		_, want := source.from.Hash()
+		Expect(got).To(Equal(want))
 	})
 
-	It("tells peers that ask for too old records so", func() {
+	It("reports records as gone that it no longer retains", func() {
 		r := upTo(3)
-		healed := New(time.Now)
+		installed := New(time.Now)
 		data, _, err := r.Snapshot()
 		Expect(err).NotTo(HaveOccurred())
 		state, err := config.DecodeSnapshot(data)
 		Expect(err).NotTo(HaveOccurred())
-		Expect(healed.InstallState(state)).To(BeTrue())
-		Expect(healed.EntriesAfter(1).Gone).To(BeTrue())
-		Expect(healed.EntriesAfter(3).Gone).To(BeFalse())
+		Expect(installed.InstallState(state)).To(BeTrue())
+		Expect(installed.EntriesAfter(1).Gone).To(BeTrue())
+		Expect(installed.EntriesAfter(3).Gone).To(BeFalse())
 	})
 
-	It("adds up the age of what it hears of the log", func() {
+	It("adds up the age of the log along the sources", func() {
 		now := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 		r := New(func() time.Time { return now })
 		Expect(r.LogAge()).To(Equal(neverConfirmed))
 		Expect(r.Apply(Batch{LogAge: 2 * time.Second})).To(Succeed())
 		now = now.Add(time.Second)
 		Expect(r.LogAge()).To(Equal(3 * time.Second))
-		Expect(r.Apply(Batch{LogAge: 10 * time.Second})).To(Succeed()) // older news changes nothing
+		Expect(r.Apply(Batch{LogAge: 10 * time.Second})).To(Succeed()) // an older confirmation is ignored
 		Expect(r.LogAge()).To(Equal(3 * time.Second))
 	})
 })
 
-var _ = Describe("the rotation over sources", func() {
-	It("pauses only after a whole round, longer each time, and returns to the first", func() {
+var _ = Describe("source rotation", func() {
+	It("backs off after each full round and returns to the first source", func() {
 		now := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
-		turn := rotation{sources: 3}
-		Expect(turn.recordFailure(now)).To(BeZero())
-		Expect(turn.recordFailure(now)).To(BeZero())
-		first := turn.recordFailure(now)
+		rot := rotation{sources: 3}
+		Expect(rot.recordFailure(now)).To(BeZero())
+		Expect(rot.recordFailure(now)).To(BeZero())
+		first := rot.recordFailure(now)
 		Expect(first).To(BeNumerically(">", 0))
-		Expect(turn.current).To(Equal(0))
-		turn.recordFailure(now)
-		turn.recordFailure(now)
-		Expect(turn.recordFailure(now)).To(BeNumerically(">", first))
-		turn.recordFailure(now)
-		turn.recordSuccess(now.Add(preferFirstAfter / 2))
-		Expect(turn.current).To(Equal(1))
-		turn.recordSuccess(now.Add(preferFirstAfter))
-		Expect(turn.current).To(Equal(0))
+		Expect(rot.current).To(Equal(0))
+		rot.recordFailure(now)
+		rot.recordFailure(now)
+		Expect(rot.recordFailure(now)).To(BeNumerically(">", first))
+		rot.recordFailure(now)
+		rot.recordSuccess(now.Add(preferFirstAfter / 2))
+		Expect(rot.current).To(Equal(1))
+		rot.recordSuccess(now.Add(preferFirstAfter))
+		Expect(rot.current).To(Equal(0))
 	})
 })
 
-var _ = Describe("the tree of a zone", func() {
-	It("gives no entry more than its fanout and reaches everybody", func() {
+var _ = Describe("the read tree of a zone", func() {
+	It("limits the fanout and reaches every entry", func() {
 		children := map[int]int{}
-		for place := range 200 {
-			parent, ok := Parent(place)
-			Expect(ok).To(Equal(place >= LogReaders))
+		for index := range 200 {
+			parent, ok := Parent(index)
+			Expect(ok).To(Equal(index >= LogReaders))
 			if ok {
-				Expect(parent).To(BeNumerically("<", place))
+				Expect(parent).To(BeNumerically("<", index))
 				children[parent]++
 			}
 		}
@@ -229,8 +229,8 @@
 	})
 })
 
-var _ = Describe("the agents of a zone", func() {
-	It("spread over its entries", func() {
+var _ = Describe("agents of a zone", func() {
+	It("are spread over its entries", func() {
 		counts := map[int]int{}
 		for i := range 800 {
 			order := RotateByName([]int{0, 1, 2, 3, 4, 5, 6, 7}, fmt.Sprint("engine-", i))
--- a/internal/replica/restore.go
+++ b/internal/replica/restore.go
@@ -9,25 +9,25 @@
 	"github.com/sirupsen/logrus"
 )
 
-// viewHold is for how long a view isn't replaced by one that lacks changes which are about
-// to be written again.
+// viewHold is how long a view isn't replaced by one that lacks changes, while these are being
+// written to the log again.
 const viewHold = 5 * time.Second
 
-// RestartRead ends the present read and goes back to the first source: the store can be reached
-// again, or has come back from an older copy, where reads may hang.
+// RestartRead ends the current read and continues with the first source. It is called when the
+// store becomes reachable or was restored from an older copy, since pending reads may hang then.
 func (r *Replica) RestartRead() {
 	select {
 	case r.restartRead <- struct{}{}:
-	default: // it's about to end
+	default: // already pending
 	}
 }
 
-// carryOver takes the replica into the era in which the log has come back from an older
-// copy. What is known goes onto the log as a whole, with what has been added there since, so
-// that all go on from it: records that the copy lacks are known to some only, and those that
-// it has lie at other positions now. That happens once: under the condition that nothing was
-// added meanwhile. It returns false if the log is in the replica's era, or doesn't reach back
-// to what the replica knows.
+// carryOver moves the replica into the new era of a log that was restored from an older copy. It
+// appends the replica's whole state, with the records that were added since, so that all replicas
+// continue from the same state: they may have known different records that the copy lacks, and the
+// records that it has are at other positions now. The append succeeds for one replica only, since
+// it requires that nothing was added meanwhile. carryOver returns false if the log is in the
+// replica's era or no longer has the records after the replica's position.
 func (r *Replica) carryOver(ctx context.Context, log Log, logger *logrus.Entry) (bool, error) {
 	entries, end, err := log.ReadAll(ctx)
 	if err != nil {
@@ -39,7 +39,7 @@
 	}
 	logger = logger.WithFields(logrus.Fields{"era": end.Era(), "end": end.String(), "known": known.String()})
 	if i := findRestore(entries); i >= 0 {
-		logger.Info("the configuration log has come back from an older copy: another daemon has carried the state over")
+		logger.Info("configuration log restored from an older copy: another daemon carried the state over")
 		return true, r.enterEra(entries[i].Position-1, entries[i:])
 	}
 	first := end - storelog.Position(len(entries))
@@ -50,12 +50,12 @@
 		return true, r.enterEra(first-1, entries)
 	}
 	common := r.lastCommonOffset(entries, first)
-	logger.WithField("lost", known.Offset()-common).Warn("the configuration log has come back from an older copy: the state is carried over")
+	logger.WithField("lost", known.Offset()-common).Warn("configuration log restored from an older copy: carrying the state over")
 	return true, r.writeRestore(ctx, log, entries[common+1-first.Offset():], end)
 }
 
-// restoredAt returns the index of the first part of a state that was carried over into the
-// present era, or -1.
+// findRestore returns the index of the first part of a state that was carried over into the current
+// era, or -1.
 func findRestore(entries []config.LogEntry) int {
 	for i, entry := range entries {
 		if entry.StartsRestore() {
@@ -65,9 +65,9 @@
 	return -1
 }
 
-// comparedWith compares what is known with the records that the log keeps in another era,
-// the first of which is at a position. It returns the last offset up to which both are the
-// same for certain.
+// lastCommonOffset compares the replica's records with those of the log in another era, of which
+// the first is at the given position. It returns the last offset up to which both are known to be
+// equal.
 func (r *Replica) lastCommonOffset(entries []config.LogEntry, first storelog.Position) int64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -87,7 +87,7 @@
 	return common
 }
 
-// enter goes on in another era, whose records up to a position are known, with those after it.
+// enterEra continues in another era with the records after a known position.
 func (r *Replica) enterEra(known storelog.Position, entries []config.LogEntry) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -99,8 +99,8 @@
 	return err
 }
 
-// leaveEra notes the changes of the present era, before the replica leaves it. The view keeps
-// them for a while, also where the replica can't write them again.
+// leaveEra retains the changes of the current era before the replica leaves it. The view keeps them
+// for viewHold even if the replica can't write them to the log again.
 func (r *Replica) leaveEra() {
 	r.viewHeldUntil = r.now().Add(viewHold)
 	time.AfterFunc(viewHold, r.releaseView)
@@ -117,8 +117,8 @@
 	}
 }
 
-// restore puts the state onto the log, with what has been added there since the copy was
-// taken, if the log still ends where it did.
+// writeRestore appends the state and the records that are newer than the copy, provided that the
+// log still ends at the position end.
 func (r *Replica) writeRestore(ctx context.Context, log Log, newer []config.LogEntry, end storelog.Position) error {
 	r.mu.Lock()
 	known := r.state.Position
@@ -137,13 +137,13 @@
 	if err != nil {
 		return err
 	}
-	_, err = log.AppendAt(ctx, end, records) // the next read shows who has carried the state over
+	_, err = log.AppendAt(ctx, end, records) // the next read returns the state that was carried over
 	return err
 }
 
-// lost returns the changes of former eras that the state no longer has: another daemon knew
-// less when it carried its state over.
-func (r *Replica) missing() []config.RecentChange {
+// missingChanges returns the changes of prior eras that the state lacks, because a daemon without
+// them carried its state over.
+func (r *Replica) missingChanges() []config.RecentChange {
 	var missing []config.RecentChange
 	for _, change := range r.priorEraChanges {
 		if _, known := r.state.Results[change.Command]; !known {
@@ -153,15 +153,15 @@
 	return missing
 }
 
-// reappendLost writes lost changes to the log, if that is the source. Each takes effect once
-// however many daemons write it.
+// reappendMissing appends missing changes if the source is the log. Each change takes effect once,
+// however many daemons append it.
 func (r *Replica) reappendMissing(ctx context.Context, source Source) error {
 	s, ok := source.(LogSource)
 	if !ok {
 		return nil
 	}
 	r.mu.Lock()
-	missing := r.missing()
+	missing := r.missingChanges()
 	r.mu.Unlock()
 	for _, change := range missing {
 		if _, err := s.Log.Append(ctx, change.Data); err != nil {
--- a/internal/replica/restore_property_test.go
+++ b/internal/replica/restore_property_test.go
@@ -15,20 +15,20 @@
 	"pgregory.net/rapid"
 )
 
-// The seed is fixed, so that CI gives the same verdict each time; -rapid.seed=0 draws one.
+// The seed is fixed for reproducible CI runs; -rapid.seed=0 draws a random one.
 func init() {
 	if err := flag.Set("rapid.seed", "1"); err != nil {
 		panic(err)
 	}
 }
 
-// eraLog is a log in memory that comes back from copies of itself.
+// eraLog is an in-memory log that can be restored from older copies of itself.
 type eraLog struct {
-	Log     // keeps no state: the log drops nothing here
+	Log     // snapshots aren't needed, since no records expire
 	era     int64
 	entries []config.LogEntry
 	copied  int
-	// afterWhole is done once, as soon as the log has been read whole.
+	// afterReadAll runs once, after the next ReadAll.
 	afterReadAll func()
 }
 
@@ -62,9 +62,9 @@
 func (l *eraLog) ReadAll(context.Context) ([]config.LogEntry, storelog.Position, error) {
 	entries, end := slices.Clone(l.entries), l.end()
 	if l.afterReadAll != nil {
-		meanwhile := l.afterReadAll
+		f := l.afterReadAll
 		l.afterReadAll = nil
-		meanwhile()
+		f()
 	}
 	return entries, end, nil
 }
@@ -77,18 +77,18 @@
 	}
 }
 
-// eraWorld has daemons that follow the log, each at its own pace.
+// restoredLogModel has replicas that follow the log independently.
 type restoredLogModel struct {
-	log     *eraLog
-	daemons []*Replica
-	// known are the changes that were in force at each daemon since its start.
+	log      *eraLog
+	replicas []*Replica
+	// known holds the changes that each replica has applied since its start.
 	known    []map[string]bool
 	position []storelog.Position
 	commands int
 }
 
 func (w *restoredLogModel) start(i int) {
-	w.daemons[i], w.known[i], w.position[i] = New(time.Now), map[string]bool{}, storelog.Unknown
+	w.replicas[i], w.known[i], w.position[i] = New(time.Now), map[string]bool{}, storelog.Unknown
 }
 
 func (w *restoredLogModel) change(t *rapid.T) {
@@ -101,8 +101,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	write := func() { _, _ = w.log.Append(context.Background(), data) } // it never fails
-	if rapid.Bool().Draw(t, "while the log is looked at") {
+	write := func() { _, _ = w.log.Append(context.Background(), data) } // never fails
+	if rapid.Bool().Draw(t, "during ReadAll") {
 		w.log.afterReadAll = write
 		return
 	}
@@ -111,16 +111,16 @@
 	}
 }
 
-// step lets a daemon read once, and checks that nothing that was in force there is lost.
+// step makes a replica read once and checks that it hasn't lost an applied change.
 func (w *restoredLogModel) step(t *rapid.T, i int) {
 	logger := logrus.New()
 	logger.SetOutput(io.Discard)
-	r := w.daemons[i]
+	r := w.replicas[i]
 	if _, err := r.followOnce(context.Background(), LogSource{Log: w.log}, logrus.NewEntry(logger)); err != nil {
 		t.Fatal(err)
 	}
 	if r.Position() < w.position[i] {
-		t.Fatalf("daemon %d went from %s to %s", i, w.position[i], r.Position())
+		t.Fatalf("replica %d went from position %s to %s", i, w.position[i], r.Position())
 	}
 	w.position[i] = r.Position()
 	for _, customer := range r.View().List(config.KindCustomer) {
@@ -131,13 +131,13 @@
 
 func (w *restoredLogModel) checkKnown(t *rapid.T, i int) {
 	for name := range w.known[i] {
-		if w.daemons[i].View().Get(config.KindCustomer, name) == nil {
-			t.Fatalf("daemon %d no longer has change %s", i, name)
+		if w.replicas[i].View().Get(config.KindCustomer, name) == nil {
+			t.Fatalf("replica %d lost change %s", i, name)
 		}
 	}
 }
 
-// onTheLog returns the changes that lie on the log, before or after a restored state.
+// changesOnLog returns the changes that are on the log, before or after a restored state.
 func (w *restoredLogModel) changesOnLog() map[string]bool {
 	found := map[string]bool{}
 	for _, entry := range w.log.entries {
@@ -148,18 +148,19 @@
 	return found
 }
 
-// All daemons must have one state again, too, once they have read on.
+// A change must not be lost when the log is restored while any replica has it, and all replicas
+// must converge on one state.
 func TestChangeSurvivesWhileAnyReplicaHasIt(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		const daemons = 3
+		const replicas = 3
 		w := &restoredLogModel{
-			log: &eraLog{}, daemons: make([]*Replica, daemons), known: make([]map[string]bool, daemons), position: make([]storelog.Position, daemons),
+			log: &eraLog{}, replicas: make([]*Replica, replicas), known: make([]map[string]bool, replicas), position: make([]storelog.Position, replicas),
 		}
-		for i := range daemons {
+		for i := range replicas {
 			w.start(i)
 		}
-		one := func(t *rapid.T) int { return rapid.IntRange(0, daemons-1).Draw(t, "daemon") }
-		read := func(t *rapid.T) { w.step(t, one(t)) }
+		drawReplica := func(t *rapid.T) int { return rapid.IntRange(0, replicas-1).Draw(t, "replica") }
+		read := func(t *rapid.T) { w.step(t, drawReplica(t)) }
 		t.Repeat(map[string]func(*rapid.T){
 			"change":       w.change,
 			"change again": w.change,
@@ -168,23 +169,23 @@
 			"read on":      read,
 			"copy":         func(*rapid.T) { w.log.copied = len(w.log.entries) },
 			"come back":    func(*rapid.T) { w.log.restoreCopy() },
-			"start":        func(t *rapid.T) { w.start(one(t)) },
+			"start":        func(t *rapid.T) { w.start(drawReplica(t)) },
 		})
-		for range 3 * daemons {
-			for i := range daemons {
+		for range 3 * replicas {
+			for i := range replicas {
 				w.step(t, i)
 			}
 		}
 		w.known = append(w.known, w.changesOnLog())
-		_, want := w.daemons[0].Hash()
-		for i, r := range w.daemons {
+		_, want := w.replicas[0].Hash()
+		for i, r := range w.replicas {
 			if at, hash := r.Hash(); hash != want {
-				t.Fatalf("daemon %d at %s has another state than the first at %s", i, at, w.daemons[0].Position())
+				t.Fatalf("replica %d at %s has another state than the first at %s", i, at, w.replicas[0].Position())
 			}
 			for _, known := range w.known {
 				for name := range known {
 					if r.View().Get(config.KindCustomer, name) == nil {
-						t.Fatalf("daemon %d doesn't have change %s, which is in force elsewhere", i, name)
+						t.Fatalf("replica %d lacks change %s, which is applied elsewhere", i, name)
 					}
 				}
 			}
--- a/internal/replica/tree.go
+++ b/internal/replica/tree.go
@@ -3,17 +3,16 @@
 import "github.com/cespare/xxhash/v2"
 
 const (
-	// LogReaders is how many entries of an availability zone read the log
-	// themselves; the others read from them, so that the log's load doesn't grow
-	// with the fleet.
+	// LogReaders is the number of entries per availability zone that read the log directly. The
+	// others read from these, so that the load of the log doesn't grow with the fleet.
 	LogReaders = 2
-	// treeFanout is how many entries read from one, so that no entry's load grows
-	// with the fleet either. Agents come on top.
+	// treeFanout is the maximum number of entries that read from one entry. Agents come in
+	// addition.
 	treeFanout = 4
 )
 
-// Parent returns the place of the entry that the entry at a place of its zone's
-// list reads from, and false for those that read the log.
+// Parent returns the index of the entry that the entry at an index of its zone's list reads from,
+// and false for entries that read the log.
 func Parent(index int) (int, bool) {
 	if index < LogReaders {
 		return 0, false
@@ -21,8 +20,8 @@
 	return (index - LogReaders) / treeFanout, true
 }
 
-// RotateByName returns the items beginning at a place that a name's hash chooses, so
-// that many daemons with the same list don't all begin with the same one.
+// RotateByName returns the items rotated by a hash of the name, so that daemons with the same list
+// start with different items.
 func RotateByName[T any](items []T, name string) []T {
 	if len(items) == 0 {
 		return nil
