--- a/internal/experts/agent.go
+++ b/internal/experts/agent.go
@@ -38,8 +38,8 @@
 	prevCountsFence int64
 	// openedAt is when the group last became open.
 	openedAt time.Time
-	// notice holds the pauses that the engine asked for in its responses.
-	notice eligibility.Report
+	// selfReport holds the pauses that the engine asked for in its responses.
+	selfReport eligibility.Report
 	// goneFence is the fencing token of a lease that an earlier process of this
 	// daemon held.
 	goneFence int64
@@ -181,7 +181,7 @@
 		a.openedAt = a.now()
 	}
 	if report.StartID != a.lastReport.StartID {
-		a.notice = eligibility.Report{} // not valid for a new start
+		a.selfReport = eligibility.Report{} // not valid for a new start
 	}
 	a.lastReport = report
 	return report, nil
@@ -216,7 +216,7 @@
 	if errors.As(err, &rest) {
 		a.mu.Lock()
 		defer a.mu.Unlock()
-		a.notice.RecordRest(rest.Rest, a.now())
+		a.selfReport.RecordRest(rest.Rest, a.now())
 	}
 	return result, err
 }
@@ -242,8 +242,8 @@
 	}
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if bar := a.notice.Exclusion(a.now()); bar != nil {
-		return &eligibility.ExcludedError{Exclusion: bar}
+	if exclusion := a.selfReport.Exclusion(a.now()); exclusion != nil {
+		return &eligibility.ExcludedError{Exclusion: exclusion}
 	}
 	return nil
 }
--- a/internal/experts/agent_test.go
+++ b/internal/experts/agent_test.go
@@ -23,9 +23,9 @@
 
 // fakeEngine records commands and returns a fixed report.
 type fakeEngine struct {
-	report RankReport
-	counts Counts
-	orders []Command
+	report   RankReport
+	counts   Counts
+	commands []Command
 	// rest, if set, is the pause that the engine asks for when it refuses a command.
 	rest time.Duration
 	// timeouts is the number of commands without response before the first response.
@@ -38,12 +38,12 @@
 
 func (e *fakeEngine) Experts(context.Context, string) ([][]int, error) { return nil, nil }
 
-func (e *fakeEngine) Execute(_ context.Context, _ string, o Command) (Result, error) {
-	e.orders = append(e.orders, o)
+func (e *fakeEngine) Execute(_ context.Context, _ string, command Command) (Result, error) {
+	e.commands = append(e.commands, command)
 	if e.rest > 0 {
 		return Refused, &RestError{Rest: e.rest, Err: errors.New("status 503")}
 	}
-	if len(e.orders) <= e.timeouts {
+	if len(e.commands) <= e.timeouts {
 		return NoResponse, errors.New("no response")
 	}
 	return Accepted, nil
@@ -55,21 +55,21 @@
 	err     error
 }
 
-func (l *memoryStore) add(group string, rank int) {
+func (s *memoryStore) add(group string, rank int) {
 	data, err := json.Marshal(LeaseRecord{Group: group, Rank: rank})
 	Expect(err).NotTo(HaveOccurred())
-	l.records = append(l.records, StoredRecord{Position: storelog.Position(len(l.records)), Data: data})
+	s.records = append(s.records, StoredRecord{Position: storelog.Position(len(s.records)), Data: data})
 }
 
-func (l *memoryStore) ReadLeases(_ context.Context, from storelog.Position) (storelog.Position, []StoredRecord, error) {
-	return storelog.Position(len(l.records)), l.records[min(int(from), len(l.records)):], l.err
+func (s *memoryStore) ReadLeases(_ context.Context, from storelog.Position) (storelog.Position, []StoredRecord, error) {
+	return storelog.Position(len(s.records)), s.records[min(int(from), len(s.records)):], s.err
 }
 
-func (l *memoryStore) AppendLease(_ context.Context, end storelog.Position, data []byte) (bool, error) {
-	if end != storelog.Position(len(l.records)) {
+func (s *memoryStore) AppendLease(_ context.Context, end storelog.Position, data []byte) (bool, error) {
+	if end != storelog.Position(len(s.records)) {
 		return false, nil
 	}
-	l.records = append(l.records, StoredRecord{Position: end, Data: data})
+	s.records = append(s.records, StoredRecord{Position: end, Data: data})
 	return true, nil
 }
 
@@ -113,7 +113,7 @@
 		for _, operation := range []Operation{Prepare, Arm, Hold} {
 			Expect(execute(operation)).To(Equal(Refused))
 		}
-		Expect(engine.orders).To(HaveLen(1))
+		Expect(engine.commands).To(HaveLen(1))
 		for _, operation := range []Operation{Disarm, Release} {
 			Expect(execute(operation)).To(Equal(Accepted))
 		}
@@ -126,11 +126,11 @@
 	})
 
 	It("reports no counts across a restart of the engine", func() {
-		chosen := func(born int64, counts ...float64) []float64 {
-			engine.counts = Counts{StartID: born, Chosen: counts}
-			seen, err := agent.Observe(ctx, 7, Query{To: len(counts)})
+		chosen := func(startID int64, counts ...float64) []float64 {
+			engine.counts = Counts{StartID: startID, Chosen: counts}
+			observation, err := agent.Observe(ctx, 7, Query{To: len(counts)})
 			Expect(err).NotTo(HaveOccurred())
-			return seen.Counts.Chosen
+			return observation.Counts.Chosen
 		}
 		Expect(chosen(1, 5, 5)).To(BeNil())
 		Expect(chosen(1, 6, 7)).To(Equal([]float64{1, 2}))
@@ -143,22 +143,22 @@
 		Expect(err).NotTo(HaveOccurred())
 		result, _ := agent.Execute(ctx, Command{Operation: Arm, Fence: 6})
 		Expect(result).To(Equal(Fenced))
-		Expect(engine.orders).To(BeEmpty())
+		Expect(engine.commands).To(BeEmpty())
 	})
 
 	It("returns only the higher fence to a superseded holder", func() {
 		agent.ObserveFence(7)
-		seen, err := agent.Observe(ctx, 6, Query{Experts: true, To: 1})
+		observation, err := agent.Observe(ctx, 6, Query{Experts: true, To: 1})
 		Expect(err).NotTo(HaveOccurred())
-		Expect(seen).To(Equal(Observation{Fence: 7}))
+		Expect(observation).To(Equal(Observation{Fence: 7}))
 	})
 
 	It("returns the queried range of the counts since the holder's previous query", func() {
-		observe := func(ask Query, chosen ...float64) Counts {
+		observe := func(query Query, chosen ...float64) Counts {
 			engine.counts = Counts{Epoch: 1, Chosen: chosen}
-			seen, err := agent.Observe(ctx, 1, ask)
+			observation, err := agent.Observe(ctx, 1, query)
 			Expect(err).NotTo(HaveOccurred())
-			return seen.Counts
+			return observation.Counts
 		}
 		observe(Query{}, 1, 1, 1, 1)
 		Expect(observe(Query{From: 1, To: 3}, 2, 3, 4, 5)).To(Equal(Counts{Epoch: 1, Offset: 1, Chosen: []float64{2, 3}}))
@@ -170,9 +170,9 @@
 	It("returns counts since the previous query of the same holder only", func() {
 		chosen := func(fence, epoch int64, total float64) []float64 {
 			engine.counts = Counts{Epoch: epoch, Chosen: []float64{total}}
-			seen, err := agent.Observe(ctx, fence, Query{To: 1})
+			observation, err := agent.Observe(ctx, fence, Query{To: 1})
 			Expect(err).NotTo(HaveOccurred())
-			return seen.Counts.Chosen
+			return observation.Counts.Chosen
 		}
 		Expect(chosen(1, 1, 500)).To(BeNil(), "first query")
 		Expect(chosen(1, 1, 520)).To(Equal([]float64{20}))
@@ -187,7 +187,7 @@
 		result, err := agent.Execute(ctx, Command{Operation: Arm, Fence: 1})
 		Expect(err).NotTo(HaveOccurred())
 		Expect(result).To(Equal(Accepted))
-		Expect(engine.orders).To(HaveLen(3))
+		Expect(engine.commands).To(HaveLen(3))
 	})
 
 	It("measures the time without a holder from the opening of the group", func() {
@@ -225,9 +225,9 @@
 		claimed, err := ClaimLease(ctx, leases, record, 1)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(claimed).To(Equal(ClaimResult{Fence: 3, Newest: 3, FormerRank: 5, Unreadable: 1}))
-		held, err := CurrentLeases(ctx, leases)
+		current, err := CurrentLeases(ctx, leases)
 		Expect(err).NotTo(HaveOccurred())
-		Expect(held).To(HaveLen(1))
+		Expect(current).To(HaveLen(1))
 	})
 
 	It("fail when another daemon has just claimed the lease", func() {
@@ -260,18 +260,18 @@
 		shape := rebalance.Shape{Ranks: 1, Experts: 2, Layers: 1, Slots: 2}
 		d := NewDemand(shape, 100*time.Millisecond)
 		now := time.Unix(1000, 0)
-		see := func(a, b float64) {
+		addSample := func(a, b float64) {
 			now = now.Add(100 * time.Millisecond)
 			d.Add(0, []float64{a, b})
 			d.EndSample(now)
 		}
-		see(100, 0)
+		addSample(100, 0)
 		Expect(d.Popularity()[0][0]).To(BeNumerically(">", 99))
-		see(0, 400)
+		addSample(0, 400)
 		Expect(d.Popularity()[0][1]).To(BeNumerically(">", 3*d.Popularity()[0][0]))
 		before := d.Weight()
 		now = now.Add(time.Minute)
-		see(0, 0)
+		addSample(0, 0)
 		Expect(d.Weight()).To(Equal(before))
 	})
 
@@ -294,9 +294,9 @@
 // beginning with the most popular expert, first.
 func zipf(experts, choices, first int) []float64 {
 	counts, total := make([]float64, experts), 0.0
-	for place := range counts {
-		counts[(first+place)%experts] = math.Pow(float64(place+1), -1.3)
-		total += counts[(first+place)%experts]
+	for i := range counts {
+		counts[(first+i)%experts] = math.Pow(float64(i+1), -1.3)
+		total += counts[(first+i)%experts]
 	}
 	for expert := range counts {
 		counts[expert] *= float64(choices) / total
--- a/internal/experts/holder_test.go
+++ b/internal/experts/holder_test.go
@@ -33,10 +33,10 @@
 	return Observation{Report: report, Fence: fence, Experts: [][]int{{rank}}}, nil
 }
 
-func (r *ranksWithHold) SendCommand(_ context.Context, rank int, o Command, _ bool) (Result, error) {
+func (r *ranksWithHold) SendCommand(_ context.Context, rank int, command Command, _ bool) (Result, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if o.Operation == Prepare && rank == 0 {
+	if command.Operation == Prepare && rank == 0 {
 		r.prepares++
 		return Refused, nil
 	}
@@ -63,10 +63,10 @@
 	}, nil
 }
 
-func (r *ranksWithPopularity) SendCommand(_ context.Context, _ int, o Command, _ bool) (Result, error) {
+func (r *ranksWithPopularity) SendCommand(_ context.Context, _ int, command Command, _ bool) (Result, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.prepared = append(r.prepared, o)
+	r.prepared = append(r.prepared, command)
 	return Accepted, nil
 }
 
--- a/internal/experts/lease_eras_test.go
+++ b/internal/experts/lease_eras_test.go
@@ -55,6 +55,8 @@
 	return true, nil
 }
 
+// TestFenceIncreasesAcrossStoreRestores checks that fencing tokens increase even if the
+// store is restored from a backup repeatedly.
 func TestFenceIncreasesAcrossStoreRestores(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		store, known, highest := &restoredStore{era: rapid.Int64Range(0, 1).Draw(t, "first era")}, map[string]int64{}, int64(0)
--- a/internal/experts/model_mutants_test.go
+++ b/internal/experts/model_mutants_test.go
@@ -13,7 +13,7 @@
 	// after runs after each event of a holder.
 	after func(s *MapSwitch)
 	// result may change the result of a command.
-	result func(o Command, v Result) Result
+	result func(command Command, result Result) Result
 	// noEpoch makes engines accept commands of any epoch.
 	noEpoch bool
 	// ignoresFence makes holders and agents ignore fencing tokens.
@@ -21,12 +21,12 @@
 }
 
 // treatAsAccepted replaces one result of an operation by Accepted.
-func treatAsAccepted(operation Operation, as Result) func(Command, Result) Result {
-	return func(o Command, v Result) Result {
-		if o.Operation == operation && v == as {
+func treatAsAccepted(operation Operation, replaced Result) func(Command, Result) Result {
+	return func(command Command, result Result) Result {
+		if command.Operation == operation && result == replaced {
 			return Accepted
 		}
-		return v
+		return result
 	}
 }
 
--- a/internal/experts/model_test.go
+++ b/internal/experts/model_test.go
@@ -75,8 +75,8 @@
 func (m *modelState) key() string {
 	var b strings.Builder
 	fmt.Fprint(&b, m.engines, m.seenFence, m.epoch, m.pass, m.reformed, m.started, m.partitioned, m.partitions)
-	for _, l := range m.delayed {
-		fmt.Fprint(&b, l.rank, l.command.Operation, l.command.Epoch, l.command.Version, l.command.Pass, l.command.Fence)
+	for _, delayed := range m.delayed {
+		fmt.Fprint(&b, delayed.rank, delayed.command.Operation, delayed.command.Epoch, delayed.command.Version, delayed.command.Pass, delayed.command.Fence)
 	}
 	for _, h := range m.holders {
 		if h == nil {
@@ -266,12 +266,12 @@
 
 // TestOneMapInEveryPassExhaustive checks the invariant by breadth-first search.
 func TestOneMapInEveryPassExhaustive(t *testing.T) {
-	const mostStates = 100_000
-	seen := map[string]bool{}
+	const maxStates = 100_000
+	visited := map[string]bool{}
 	start := newModel()
 	queue := []*modelState{start}
-	seen[start.key()] = true
-	for len(queue) > 0 && len(seen) < mostStates {
+	visited[start.key()] = true
+	for len(queue) > 0 && len(visited) < maxStates {
 		m := queue[0]
 		queue = queue[1:]
 		for _, s := range m.steps(&mutant{}) {
@@ -280,13 +280,13 @@
 			if !s.do(next) {
 				t.Fatalf("two maps in one pass:\n%s", strings.Join(next.trace, "\n"))
 			}
-			if key := next.key(); !seen[key] {
-				seen[key] = true
+			if key := next.key(); !visited[key] {
+				visited[key] = true
 				queue = append(queue, next)
 			}
 		}
 	}
-	t.Logf("%d states", len(seen))
+	t.Logf("%d states", len(visited))
 }
 
 // TestGroupRecoversAfterFaults checks that once faults have ended, the last holder
@@ -304,9 +304,9 @@
 		}
 		m.partitioned = false
 		for len(m.delayed) > 0 {
-			l := m.delayed[0]
+			delayed := m.delayed[0]
 			m.delayed = m.delayed[1:]
-			m.apply(l.rank, l.command, false, true)
+			m.apply(delayed.rank, delayed.command, false, true)
 		}
 		if !m.recovers(none) {
 			t.Fatalf("the group doesn't recover, stage %v:\n%s", m.holders[1].stage, strings.Join(m.trace, "\n"))
@@ -318,21 +318,21 @@
 func (m *modelState) recovers(none *mutant) bool {
 	const rounds = 60
 	s := m.holders[1]
-	done := 0
+	switches := 0
 	for range rounds {
 		m.now += 2
 		for rank := range modelRanks {
 			m.observe(1, rank, none)
 		}
 		if s.Ready() {
-			if done == 2 {
+			if switches == 2 {
 				return true
 			}
-			done++
+			switches++
 			s.Start(nil)
 		}
-		for _, o := range s.PendingCommands() {
-			m.sendCommand(1, o, true, false, none)
+		for _, command := range s.PendingCommands() {
+			m.sendCommand(1, command, true, false, none)
 		}
 		held := false
 		for _, e := range m.engines {
--- a/internal/experts/switch.go
+++ b/internal/experts/switch.go
@@ -66,8 +66,8 @@
 	// lastVersion is the highest version seen in this epoch.
 	lastVersion int64
 	releasedAt  time.Time
-	// strayHolds are the passes, by rank, held by a delayed command rather than by
-	// this switch, or 0.
+	// strayHolds has, by rank, the pass that is held by a delayed command rather than
+	// by this switch, or 0.
 	strayHolds []int64
 	fenced     bool
 }
--- a/internal/ranks/ranks_test.go
+++ b/internal/ranks/ranks_test.go
@@ -122,7 +122,7 @@
 	return d.endpoints, nil
 }
 
-func (p fixedDirectory) Parameters(string) (Parameters, bool) { return Parameters{}, false }
+func (d fixedDirectory) Parameters(string) (Parameters, bool) { return Parameters{}, false }
 
 var _ = Describe("calls between agents", func() {
 	const key = "secret"
