--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -1,6 +1,6 @@
-// Package agent is the door of one backend server. All requests to the server
-// pass it, from whichever entry they come, so it alone decides what starts: it
-// holds the queue, the table of idempotency keys, and the refusal when leaving.
+// Package agent implements the proxy in front of one backend server. All requests to the
+// server pass its agent, which queues them, deduplicates them by idempotency key and
+// enforces the server's limits.
 package agent
 
 import (
@@ -24,84 +24,83 @@
 	Server string
 	// Backend is the server's base URL, such as http://10.0.0.7:8000.
 	Backend string
-	// Protocol tells how the server is spoken to.
+	// Protocol is the server's protocol.
 	Protocol config.Protocol
-	// MaxBody and MaxAnswer bound a request's and an unstreamed answer's bytes.
+	// MaxBody and MaxResponse bound the bytes of a request body and of a buffered response.
 	MaxBody     int64
 	MaxResponse int64
-	// MaxQueued bounds the waiting requests.
+	// MaxQueued bounds the queued requests.
 	MaxQueued int
-	// MaxConcurrency bounds the running requests until the configuration says it.
+	// MaxConcurrency bounds the running requests until a configuration is applied.
 	MaxConcurrency int
 	// Key authenticates daemons to each other.
 	Key string
-	// SuspendAwareNow gives times that count suspensions of the VM, for comparing with each other
-	// only; nil for those of the agent's own clock.
+	// SuspendAwareNow returns times that include suspensions of the VM and are comparable
+	// only with each other. If nil, the agent's clock is used.
 	SuspendAwareNow func() time.Time
 }
 
 const (
-	// comeBack is the hint for callers when another server, or this one soon, can
-	// take the request.
-	comeBack    = time.Second
+	// retryHint is the Retry-After hint when this server or another can probably accept the
+	// request soon.
+	retryHint   = time.Second
 	maxKeys     = 200000
 	maxKeyBytes = 48 << 20
 )
 
-// Agent is the aggregate of queue, key table and ledger of one backend server.
+// Agent proxies and queues the requests to one backend server.
 //
-// Lock order: mu only; the ledger's lock is a leaf that may be taken under it.
-// Nothing that blocks is done under mu.
+// The ledger's lock may be taken while mu is held. No blocking call is made under mu.
 type Agent struct {
-	options     Options
-	log         *logrus.Entry
-	incarnation string
-	now         func() time.Time
-	elapsed     func() time.Time
+	options         Options
+	log             *logrus.Entry
+	incarnation     string
+	now             func() time.Time
+	suspendAwareNow func() time.Time
 
 	mu      sync.Mutex
 	queue   *admission.Queue
 	keys    *outcome.Keys
 	waiters map[string]*waiter
 	leaving bool
-	// draining is set while the operators drain the server.
-	draining bool
-	homes    int64 // offset of the last change of where the service's keys live
-	timer    *time.Timer
-	// notice is what the server has said of itself, lookedAt when it was last looked
-	// whether it has ended.
-	notice   eligibility.Report
-	lookedAt time.Time
-	// limits has the limit that the server has named.
+	// draining is set while an operator drains the server.
+	draining    bool
+	homesOffset int64 // offset of the last change of the homes of the service's keys
+	timer       *time.Timer
+	// serverReport holds the rest or leaving notice of the server's current process.
+	serverReport eligibility.Report
+	// exitCheckedAt is the time of the last check whether a leaving server has exited.
+	exitCheckedAt time.Time
+	// limits holds the rate limit that the server reported.
 	limits *ratelimit.Table
-	active int // handlers between arrival and the last byte of the answer
+	active int // handlers that have not finished their response
 
 	ledger outcome.Ledger
-	idle   chan struct{} // closed when leaving and nothing is active
+	idle   chan struct{} // closed when the agent is leaving and no handler is active
 }
 
-// waiter is a queued request's handler.
+// waiter signals the outcome of queueing to a request's handler.
 type waiter struct {
 	start   chan struct{}
 	refused chan *failure.Error
 }
 
-// New returns an agent. now gives the time; its wall clock is compared with the
-// times in idempotency keys.
+// New returns an agent. The wall clock of now is compared with the timestamps in
+// idempotency keys.
 func New(options Options, policy config.Policy, now func() time.Time, log *logrus.Entry) *Agent {
 	a := &Agent{
-		options:     options,
-		log:         log,
-		incarnation: uuid.NewString(),
-		now:         now,
-		elapsed:     options.SuspendAwareNow,
-		waiters:     map[string]*waiter{},
-		idle:        make(chan struct{}),
-		homes:       config.NoOffset,
-		limits:      newLimits(),
+		options:         options,
+		log:             log,
+		incarnation:     uuid.NewString(),
+		now:             now,
+		suspendAwareNow: options.SuspendAwareNow,
+		waiters:         map[string]*waiter{},
+		idle:            make(chan struct{}),
+		homesOffset:     config.NoOffset,
+		limits:          newLimits(),
 	}
-	if a.elapsed == nil {
-		a.elapsed = now
+	if a.suspendAwareNow == nil {
+		a.suspendAwareNow = now
 	}
 	a.queue = admission.NewQueue(admission.Options{
 		Limit: admission.LimitOptions{
@@ -117,18 +116,19 @@
 	return a
 }
 
-// Configuration is what of the deployment's configuration concerns an agent.
+// Configuration is the part of the deployment's configuration that applies to an agent.
 type Configuration struct {
 	Policy config.Policy
 	// MaxConcurrency bounds the running requests.
 	MaxConcurrency int
-	// HomesChange is the last change of where the service's keys live; zero if unknown.
+	// HomesChange is the last change of the homes of the service's keys; zero if unknown.
 	HomesChange config.HomesChange
-	// Draining is set while the operators drain the server: its keys move on.
+	// Draining is set while an operator drains the server. New keys then go to their next
+	// home.
 	Draining bool
 }
 
-// Configure brings a configuration into force.
+// Configure applies a configuration.
 func (a *Agent) Configure(c Configuration) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -136,19 +136,19 @@
 	a.queue.Configure(c.MaxConcurrency, c.Policy.PatientPercent)
 	a.keys.SetWindow(a.now(), c.Policy.KeyWindow(), c.Policy.ClockSkew())
 	if c.HomesChange != (config.HomesChange{}) {
-		a.homes = c.HomesChange.Offset
+		a.homesOffset = c.HomesChange.Offset
 		a.keys.MarkHomesChanged(time.UnixMilli(c.HomesChange.TimeMs))
 	}
-	a.pump()
+	a.dispatchQueued()
 }
 
-// Incarnation identifies this run of the agent.
+// Incarnation identifies this process of the agent.
 func (a *Agent) Incarnation() string { return a.incarnation }
 
-// OutcomeCounts returns how the requests that arrived here ended.
+// OutcomeCounts returns the outcomes of the requests that this agent received.
 func (a *Agent) OutcomeCounts() outcome.Counts { return a.ledger.Counts() }
 
-// Load returns the present load report.
+// Load returns the current load report.
 func (a *Agent) Load() wire.Load {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -158,8 +158,8 @@
 	}
 }
 
-// Leave refuses new work from now on. Requests that were taken finish. The
-// channel is closed when none is left.
+// Leave refuses new requests from now on. The returned channel is closed when all accepted
+// requests have finished.
 func (a *Agent) Leave() <-chan struct{} {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -194,15 +194,15 @@
 	a.signalIdle()
 }
 
-// offer queues the request. The waiter tells when it may start or that it won't.
-func (a *Agent) offer(request admission.Request) (*waiter, *failure.Error) {
+// enqueue queues the request. The returned waiter signals its start or refusal.
+func (a *Agent) enqueue(request admission.Request) (*waiter, *failure.Error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if a.leaving {
-		return nil, failure.NotRun(failure.StepQueue, a.options.Server, failure.CodeLeaving, "the server is leaving").After(comeBack)
+		return nil, failure.NotRun(failure.StepQueue, a.options.Server, failure.CodeLeaving, "the server is leaving").After(retryHint)
 	}
-	if bar := a.bar(); bar != nil {
-		return nil, a.barred(bar)
+	if exclusion := a.exclusion(); exclusion != nil {
+		return nil, a.excludedFailure(exclusion)
 	}
 	if f := a.overLimit(request); f != nil {
 		return nil, f
@@ -213,67 +213,68 @@
 	}
 	w := &waiter{start: make(chan struct{}), refused: make(chan *failure.Error, 1)}
 	a.waiters[request.ID] = w
-	a.pump()
+	a.dispatchQueued()
 	return w, nil
 }
 
-// withdraw takes a waiting request out. True means that it never starts.
+// withdraw removes a request from the queue. It reports whether the request was still
+// queued and so never starts.
 func (a *Agent) withdraw(id string) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if !a.queue.Withdraw(id) {
 		return false
 	}
-	if w := a.take(id); w != nil {
-		w.refused <- failure.NotRun(failure.StepQueue, a.options.Server, failure.CodeCanceled, "withdrawn while waiting")
+	if w := a.removeWaiter(id); w != nil {
+		w.refused <- failure.NotRun(failure.StepQueue, a.options.Server, failure.CodeCanceled, "withdrawn while queued")
 	}
-	a.pump()
+	a.dispatchQueued()
 	return true
 }
 
-// done ends a started request.
+// done records the end of a started request.
 func (a *Agent) done(id string, cost float64, ok bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.queue.Done(a.now(), id, cost, ok)
-	a.pump()
+	a.dispatchQueued()
 }
 
-// pump hands out refusals and starts, and sets the timer for the next deadline.
-// The caller holds mu.
-func (a *Agent) pump() {
+// dispatchQueued refuses expired requests, starts those that fit and sets the timer for the
+// next deadline. The caller must hold mu.
+func (a *Agent) dispatchQueued() {
 	now := a.now()
 	a.refuseExpired(now)
 	for _, request := range a.queue.Dispatch(now) {
-		if w := a.take(request.ID); w != nil {
+		if w := a.removeWaiter(request.ID); w != nil {
 			close(w.start)
 		}
 	}
 	a.refuseExpired(now)
-	a.arm(now)
+	a.setTimer(now)
 }
 
 func (a *Agent) refuseExpired(now time.Time) {
 	for _, refusal := range a.queue.TakeRefusals(now) {
 		refusal.Failure.Peer = a.options.Server
-		if w := a.take(refusal.Request.ID); w != nil {
+		if w := a.removeWaiter(refusal.Request.ID); w != nil {
 			w.refused <- refusal.Failure
 		}
 	}
 }
 
-func (a *Agent) take(id string) *waiter {
+func (a *Agent) removeWaiter(id string) *waiter {
 	w := a.waiters[id]
 	delete(a.waiters, id)
 	return w
 }
 
-func (a *Agent) arm(now time.Time) {
-	at, any := a.queue.NextDeadline()
-	if !any {
+func (a *Agent) setTimer(now time.Time) {
+	deadline, ok := a.queue.NextDeadline()
+	if !ok {
 		return
 	}
-	delay := max(at.Sub(now), time.Millisecond)
+	delay := max(deadline.Sub(now), time.Millisecond)
 	if a.timer == nil {
 		a.timer = time.AfterFunc(delay, a.onDeadline)
 		return
@@ -284,34 +285,33 @@
 func (a *Agent) onDeadline() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.pump()
+	a.dispatchQueued()
 }
 
-// verdictStale says that entry and agent disagree about where keys live; it's
-// the agent's own, beside those of the key table.
-const verdictStale outcome.Decision = -1
+// decisionStale means that entry and agent disagree about the homes of keys. It extends
+// the decisions of the key table.
+const decisionStale outcome.Decision = -1
 
-// beginKey asks the key table whether a keyed request may start. A key that was
-// never seen is taken only from an entry that knows the same homes: one of the
-// two would send it elsewhere.
-func (a *Agent) beginKey(key outcome.Key, bodyHash string, homes int64) (outcome.Decision, outcome.Response, <-chan struct{}) {
+// beginKey returns the key table's decision on a keyed request. An unknown key is accepted
+// only from an entry with the same homes, since another entry may send it to another home.
+func (a *Agent) beginKey(key outcome.Key, bodyHash string, homesOffset int64) (outcome.Decision, outcome.Response, <-chan struct{}) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if homes != a.homes && !a.keys.Has(key) {
-		return verdictStale, outcome.Response{}, nil
+	if homesOffset != a.homesOffset && !a.keys.Has(key) {
+		return decisionStale, outcome.Response{}, nil
 	}
-	bar := a.bar()
-	serverLeaves := bar != nil && bar.Reason == eligibility.Leaving
+	exclusion := a.exclusion()
+	serverLeaves := exclusion != nil && exclusion.Reason == eligibility.Leaving
 	return a.keys.Begin(a.now(), key, bodyHash, a.leaving || a.draining || serverLeaves)
 }
 
-// endKey records how a keyed request that was permitted to run ended.
-func (a *Agent) endKey(key outcome.Key, end failure.Outcome, answer outcome.Response) {
+// endKey records the outcome of a keyed request that was allowed to run.
+func (a *Agent) endKey(key outcome.Key, result failure.Outcome, response outcome.Response) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	switch end {
+	switch result {
 	case failure.OutcomeAnswered:
-		a.keys.Finish(a.now(), key, answer)
+		a.keys.Finish(a.now(), key, response)
 	case failure.OutcomeNotRun:
 		a.keys.Release(key)
 	case failure.OutcomeUnknown:
--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -24,28 +24,28 @@
 	RunSpecs(t, "agent")
 }
 
-// bench is an agent before a fake backend server.
-type bench struct {
+// fixture is an agent in front of a fake backend server.
+type fixture struct {
 	agent  *Agent
 	server *httptest.Server
 }
 
-func newBench(backend http.HandlerFunc, slots int) *bench {
+func newFixture(backend http.HandlerFunc, slots int) *fixture {
 	server := httptest.NewServer(backend)
 	DeferCleanup(server.Close)
-	return benchBefore(server.URL, slots)
+	return newFixtureFor(server.URL, slots)
 }
 
-func benchBefore(backend string, slots int) *bench {
-	return benchUntil(func(stop func()) { DeferCleanup(stop) }, backend, slots)
+func newFixtureFor(backend string, slots int) *fixture {
+	return newFixtureWithCleanup(func(stop func()) { DeferCleanup(stop) }, backend, slots)
 }
 
-// benchUntil is benchBefore for any test; cleanup takes what ends it.
-func benchUntil(cleanup func(stop func()), backend string, slots int) *bench {
+// newFixtureWithCleanup is newFixtureFor with a caller-supplied cleanup registration.
+func newFixtureWithCleanup(cleanup func(stop func()), backend string, slots int) *fixture {
 	logger := logrus.New()
 	logger.SetOutput(io.Discard)
 	policy := config.Policy{ClockSkewMs: 1, KeyWindowSeconds: 60}.WithDefaults()
-	// An agent that started a minute ago may run keys made now.
+	// The agent starts a minute ago, so that it may run keys created now.
 	var calls atomic.Int64
 	now := func() time.Time {
 		if calls.Add(1) == 1 {
@@ -57,47 +57,46 @@
 		Server: "s1", Backend: backend, Protocol: config.ProtocolPlain, Key: "daemon",
 		MaxBody: 1 << 20, MaxResponse: 1 << 20, MaxQueued: 100, MaxConcurrency: slots,
 	}, policy, now, logrus.NewEntry(logger))
-	a.recorded(nil)
+	a.setInherited(nil)
 	a.Configure(Configuration{Policy: policy, MaxConcurrency: slots, HomesChange: config.HomesChange{TimeMs: 1}})
 	server := httptest.NewServer(a)
 	cleanup(server.Close)
-	return &bench{agent: a, server: server}
+	return &fixture{agent: a, server: server}
 }
 
-// held is a backend server that says when a request has arrived and answers once
-// it's released.
-type held struct {
+// heldBackend signals each request's arrival and responds when released.
+type heldBackend struct {
 	arrived, release chan struct{}
 	runs             atomic.Int64
 }
 
-func newHeld() *held {
-	return &held{arrived: make(chan struct{}, 8), release: make(chan struct{})}
+func newHeldBackend() *heldBackend {
+	return &heldBackend{arrived: make(chan struct{}, 8), release: make(chan struct{})}
 }
 
-func (h *held) serve(w http.ResponseWriter, _ *http.Request) {
+func (h *heldBackend) serve(w http.ResponseWriter, _ *http.Request) {
 	h.runs.Add(1)
 	h.arrived <- struct{}{}
 	<-h.release
 	fmt.Fprint(w, "done")
 }
 
-type ask struct {
+type testRequest struct {
 	id, key, customer, body string
 	idempotent              bool
 	budget                  time.Duration
 	ctx                     context.Context
 }
 
-// do sends a request. It returns nil without an answer.
-func (b *bench) do(q ask) (*http.Response, string) {
+// do sends a request. It returns nil if there is no response.
+func (b *fixture) do(q testRequest) (*http.Response, string) {
 	response, body, err := b.try(q)
 	Expect(err).NotTo(HaveOccurred())
 	return response, body
 }
 
-// try is do for any test.
-func (b *bench) try(q ask) (*http.Response, string, error) {
+// try is do without assertions, for use outside of Ginkgo.
+func (b *fixture) try(q testRequest) (*http.Response, string, error) {
 	if q.ctx == nil {
 		q.ctx = context.Background()
 	}
@@ -118,7 +117,7 @@
 	request.Header.Set(wire.HeaderAuth, "daemon")
 	response, err := http.DefaultClient.Do(request)
 	if err != nil {
-		return nil, "", nil // the caller left, or the connection was cut
+		return nil, "", nil // canceled, or the connection was dropped
 	}
 	defer response.Body.Close()
 	body, err := io.ReadAll(response.Body)
@@ -130,12 +129,12 @@
 func outcomeOf(r *http.Response) string { return r.Header.Get(wire.HeaderOutcome) }
 
 var _ = Describe("keyed requests", func() {
-	It("run once and give the recorded answer to repeats", func() {
+	It("run once and replay the recorded response to retries", func() {
 		var runs atomic.Int64
-		b := newBench(func(w http.ResponseWriter, _ *http.Request) { fmt.Fprintf(w, "run %d", runs.Add(1)) }, 4)
+		b := newFixture(func(w http.ResponseWriter, _ *http.Request) { fmt.Fprintf(w, "run %d", runs.Add(1)) }, 4)
 		key := newKey()
 		for i := range 3 {
-			response, body := b.do(ask{key: key, body: "x"})
+			response, body := b.do(testRequest{key: key, body: "x"})
 			Expect(outcomeOf(response)).To(Equal("answered"))
 			Expect(body).To(Equal("run 1"))
 			Expect(response.Header.Get(wire.HeaderReplayed) == "1").To(Equal(i > 0))
@@ -143,26 +142,26 @@
 		Expect(runs.Load()).To(Equal(int64(1)))
 	})
 
-	It("are kept apart by customer, and bound to their body", func() {
+	It("are scoped to the customer and bound to the request body", func() {
 		var runs atomic.Int64
-		b := newBench(func(w http.ResponseWriter, _ *http.Request) { fmt.Fprintf(w, "run %d", runs.Add(1)) }, 4)
+		b := newFixture(func(w http.ResponseWriter, _ *http.Request) { fmt.Fprintf(w, "run %d", runs.Add(1)) }, 4)
 		key := newKey()
-		_, first := b.do(ask{key: key, body: "x", customer: "one"})
-		_, second := b.do(ask{key: key, body: "x", customer: "two"})
+		_, first := b.do(testRequest{key: key, body: "x", customer: "one"})
+		_, second := b.do(testRequest{key: key, body: "x", customer: "two"})
 		Expect(first).NotTo(Equal(second))
-		response, _ := b.do(ask{key: key, body: "other", customer: "one"})
+		response, _ := b.do(testRequest{key: key, body: "other", customer: "one"})
 		Expect(response.StatusCode).To(Equal(http.StatusConflict))
 	})
 
-	It("join a request that is still running", func() {
-		backend := newHeld()
-		b := newBench(backend.serve, 4)
+	It("wait for a running request with the same key", func() {
+		backend := newHeldBackend()
+		b := newFixture(backend.serve, 4)
 		key := newKey()
 		answers := make(chan string, 2)
 		for range 2 {
 			go func() {
 				defer GinkgoRecover()
-				_, body := b.do(ask{key: key, body: "x"})
+				_, body := b.do(testRequest{key: key, body: "x"})
 				answers <- body
 			}()
 		}
@@ -173,100 +172,100 @@
 		Expect(backend.runs.Load()).To(Equal(int64(1)))
 	})
 
-	It("go on when their entry dies, and keep the answer for the repeat", func() {
-		backend := newHeld()
-		b := newBench(backend.serve, 4)
+	It("continue when the entry disconnects and keep the response for a retry", func() {
+		backend := newHeldBackend()
+		b := newFixture(backend.serve, 4)
 		key := newKey()
-		ctx, die := context.WithCancel(context.Background())
-		go b.do(ask{key: key, body: "x", ctx: ctx})
+		ctx, disconnect := context.WithCancel(context.Background())
+		go b.do(testRequest{key: key, body: "x", ctx: ctx})
 		<-backend.arrived
-		die()
+		disconnect()
 		close(backend.release)
-		Eventually(func() string { _, body := b.do(ask{key: key, body: "x"}); return body }, "5s").Should(Equal("done"))
+		Eventually(func() string { _, body := b.do(testRequest{key: key, body: "x"}); return body }, "5s").Should(Equal("done"))
 		Expect(backend.runs.Load()).To(Equal(int64(1)))
 	})
 
-	It("are unknown, and stay so, when the server cut the answer", func() {
+	It("stay unknown when the server drops the connection", func() {
 		var runs atomic.Int64
-		b := newBench(func(http.ResponseWriter, *http.Request) { runs.Add(1); panic(http.ErrAbortHandler) }, 4)
+		b := newFixture(func(http.ResponseWriter, *http.Request) { runs.Add(1); panic(http.ErrAbortHandler) }, 4)
 		key := newKey()
 		for range 3 {
-			response, _ := b.do(ask{key: key, body: "x"})
+			response, _ := b.do(testRequest{key: key, body: "x"})
 			Expect(outcomeOf(response)).To(Equal("unknown"))
 		}
 		Expect(runs.Load()).To(Equal(int64(1)))
 	})
 
-	It("get the answer's headers too, the first time and again", func() {
-		b := newBench(func(w http.ResponseWriter, _ *http.Request) {
+	It("return the response headers, also on replay", func() {
+		b := newFixture(func(w http.ResponseWriter, _ *http.Request) {
 			w.Header().Set("X-Receipt", "42")
 			w.WriteHeader(http.StatusCreated)
 		}, 4)
 		key := newKey()
 		for range 2 {
-			response, _ := b.do(ask{key: key, body: "x"})
+			response, _ := b.do(testRequest{key: key, body: "x"})
 			Expect(response.StatusCode).To(Equal(http.StatusCreated))
 			Expect(response.Header.Get("X-Receipt")).To(Equal("42"))
 		}
 	})
 
-	It("are refused from an entry that knows other homes", func() {
+	It("are refused from an entry with different homes unless the key is known", func() {
 		var runs atomic.Int64
-		b := newBench(func(w http.ResponseWriter, _ *http.Request) { fmt.Fprintf(w, "run %d", runs.Add(1)) }, 4)
-		seen := newKey()
-		b.do(ask{key: seen, body: "x"})
+		b := newFixture(func(w http.ResponseWriter, _ *http.Request) { fmt.Fprintf(w, "run %d", runs.Add(1)) }, 4)
+		knownKey := newKey()
+		b.do(testRequest{key: knownKey, body: "x"})
 		b.agent.Configure(Configuration{
 			Policy: config.Policy{ClockSkewMs: 1}.WithDefaults(), MaxConcurrency: 4,
 			HomesChange: config.HomesChange{Offset: 7, TimeMs: time.Now().UnixMilli()},
 		})
-		response, _ := b.do(ask{key: newKey(), body: "x"}) // the entry knows offset 0
+		response, _ := b.do(testRequest{key: newKey(), body: "x"}) // the entry is at offset 0
 		Expect(response.Header.Get(wire.HeaderCode)).To(Equal("stale-configuration"))
-		_, body := b.do(ask{key: seen, body: "x"})
+		_, body := b.do(testRequest{key: knownKey, body: "x"})
 		Expect(body).To(Equal("run 1"))
 		Expect(runs.Load()).To(Equal(int64(1)))
 	})
 
-	It("move on from a server that the operators drain, unless it has seen them", func() {
-		b := newBench(func(w http.ResponseWriter, _ *http.Request) { fmt.Fprint(w, "ran") }, 4)
-		seen := newKey()
-		b.do(ask{key: seen, body: "x"})
+	It("are closed at a draining server unless the key is known", func() {
+		b := newFixture(func(w http.ResponseWriter, _ *http.Request) { fmt.Fprint(w, "ran") }, 4)
+		knownKey := newKey()
+		b.do(testRequest{key: knownKey, body: "x"})
 		b.agent.Configure(Configuration{Policy: config.Policy{ClockSkewMs: 1}.WithDefaults(), MaxConcurrency: 4, Draining: true})
-		response, _ := b.do(ask{key: newKey(), body: "x"})
+		response, _ := b.do(testRequest{key: newKey(), body: "x"})
 		Expect(response.Header.Get(wire.HeaderKeyClosed)).To(Equal("1"))
-		_, body := b.do(ask{key: seen, body: "x"})
+		_, body := b.do(testRequest{key: knownKey, body: "x"})
 		Expect(body).To(Equal("ran"))
 	})
 
-	It("name the lost server as the cause, not the caller", func() {
-		b := newBench(func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }, 4)
-		response, _ := b.do(ask{body: "x"})
+	It("report a dropped connection as server-lost", func() {
+		b := newFixture(func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }, 4)
+		response, _ := b.do(testRequest{body: "x"})
 		Expect(response.Header.Get(wire.HeaderCode)).To(Equal("server-lost"))
 	})
 
-	It("are unknown when made before the agent started", func() {
+	It("are unknown if created before the agent started", func() {
 		var runs atomic.Int64
-		b := newBench(func(http.ResponseWriter, *http.Request) { runs.Add(1) }, 4)
+		b := newFixture(func(http.ResponseWriter, *http.Request) { runs.Add(1) }, 4)
 		old := uuid.Must(uuid.NewV7())
-		old[3]-- // about 65 seconds and more
+		old[3]-- // at least 65 seconds
 		old[2]--
-		response, _ := b.do(ask{key: old.String(), body: "x"})
+		response, _ := b.do(testRequest{key: old.String(), body: "x"})
 		Expect(outcomeOf(response)).To(Equal("unknown"))
 		Expect(runs.Load()).To(BeZero())
 	})
 
-	It("may be asked again when the server refused the connection", func() {
-		b := benchBefore("http://127.0.0.1:1", 4)
+	It("may be retried when the server refused the connection", func() {
+		b := newFixtureFor("http://127.0.0.1:1", 4)
 		key := newKey()
 		for range 2 {
-			response, _ := b.do(ask{key: key, body: "x"})
+			response, _ := b.do(testRequest{key: key, body: "x"})
 			Expect(outcomeOf(response)).To(Equal("not-run"))
 		}
 	})
 })
 
 var _ = Describe("requests", func() {
-	It("are cut, not ended, when the server cuts a stream", func() {
-		b := newBench(func(w http.ResponseWriter, _ *http.Request) {
+	It("abort the response when the server drops a stream", func() {
+		b := newFixture(func(w http.ResponseWriter, _ *http.Request) {
 			w.Header().Set("Content-Type", "text/event-stream")
 			fmt.Fprint(w, "id: 1\ndata: x\n\n")
 			_ = http.NewResponseController(w).Flush()
@@ -284,13 +283,13 @@
 		Expect(b.agent.OutcomeCounts().Unknown).To(Equal(int64(1)))
 	})
 
-	It("wait their turn and are not run when their caller leaves", func() {
-		backend := newHeld()
-		b := newBench(backend.serve, 1)
-		go b.do(ask{body: "first"})
+	It("are not run if the caller disconnects while they are queued", func() {
+		backend := newHeldBackend()
+		b := newFixture(backend.serve, 1)
+		go b.do(testRequest{body: "first"})
 		<-backend.arrived
 		ctx, leave := context.WithCancel(context.Background())
-		go b.do(ask{body: "second", ctx: ctx})
+		go b.do(testRequest{body: "second", ctx: ctx})
 		Eventually(func() int { return b.agent.Load().Queued }, "5s").Should(Equal(1))
 		leave()
 		Eventually(func() int64 { return b.agent.OutcomeCounts().NotRun }, "5s").Should(Equal(int64(1)))
@@ -299,19 +298,19 @@
 		Expect(backend.runs.Load()).To(Equal(int64(1)))
 	})
 
-	It("are given up at their deadline in the queue, at once and with a hint", func() {
-		backend := newHeld()
-		b := newBench(backend.serve, 1)
-		go b.do(ask{body: "first"})
+	It("are refused with Retry-After when their deadline passes in the queue", func() {
+		backend := newHeldBackend()
+		b := newFixture(backend.serve, 1)
+		go b.do(testRequest{body: "first"})
 		<-backend.arrived
-		response, _ := b.do(ask{body: "second", budget: 30 * time.Millisecond})
+		response, _ := b.do(testRequest{body: "second", budget: 30 * time.Millisecond})
 		Expect(outcomeOf(response)).To(Equal("not-run"))
 		Expect(response.Header.Get(wire.HeaderRetryAfterMs)).NotTo(BeEmpty())
 		close(backend.release)
 	})
 
-	It("meant for another server are refused", func() {
-		b := newBench(func(http.ResponseWriter, *http.Request) {}, 1)
+	It("for another server are refused", func() {
+		b := newFixture(func(http.ResponseWriter, *http.Request) {}, 1)
 		request, err := http.NewRequest(http.MethodPost, b.server.URL+"/x", nil)
 		Expect(err).NotTo(HaveOccurred())
 		(&wire.Envelope{Weight: 1, Budget: time.Second, Cost: 1, Server: "other"}).Write(request.Header)
@@ -323,7 +322,7 @@
 	})
 
 	It("without the daemon key are refused", func() {
-		b := newBench(func(http.ResponseWriter, *http.Request) {}, 1)
+		b := newFixture(func(http.ResponseWriter, *http.Request) {}, 1)
 		response, err := http.Post(b.server.URL, "", nil)
 		Expect(err).NotTo(HaveOccurred())
 		defer response.Body.Close()
@@ -331,34 +330,34 @@
 	})
 })
 
-var _ = Describe("a changed configuration", func() {
-	It("is in force at a running agent, at once", func() {
-		b := newBench(func(http.ResponseWriter, *http.Request) {}, 4)
+var _ = Describe("Configure", func() {
+	It("changes the limit of a running agent", func() {
+		b := newFixture(func(http.ResponseWriter, *http.Request) {}, 4)
 		Expect(b.agent.Load().Limit).To(Equal(4))
 		b.agent.Configure(Configuration{Policy: config.Policy{}.WithDefaults(), MaxConcurrency: 2})
 		Expect(b.agent.Load().Limit).To(Equal(2))
 	})
 })
 
-var _ = Describe("leaving", func() {
-	It("finishes what runs, refuses the rest, closes keys, and says so in every answer", func() {
-		backend := newHeld()
-		b := newBench(backend.serve, 4)
+var _ = Describe("Leave", func() {
+	It("finishes running requests, refuses new ones, closes keys and reports leaving", func() {
+		backend := newHeldBackend()
+		b := newFixture(backend.serve, 4)
 		first := make(chan string, 1)
 		go func() {
 			defer GinkgoRecover()
-			_, body := b.do(ask{body: "x"})
+			_, body := b.do(testRequest{body: "x"})
 			first <- body
 		}()
 		<-backend.arrived
 		idle := b.agent.Leave()
 		Consistently(idle, "50ms").ShouldNot(BeClosed())
-		response, _ := b.do(ask{body: "y"})
+		response, _ := b.do(testRequest{body: "y"})
 		Expect(outcomeOf(response)).To(Equal("not-run"))
 		Expect(response.Header.Get(wire.HeaderCode)).To(Equal("leaving"))
 		load, ok := wire.ParseLoad(response.Header.Get(wire.HeaderLoad))
 		Expect(ok && load.Leaving).To(BeTrue())
-		response, _ = b.do(ask{body: "z", key: newKey()})
+		response, _ = b.do(testRequest{body: "z", key: newKey()})
 		Expect(response.Header.Get(wire.HeaderKeyClosed)).To(Equal("1"))
 		close(backend.release)
 		Expect(<-first).To(Equal("done"))
--- a/internal/agent/call.go
+++ b/internal/agent/call.go
@@ -20,15 +20,15 @@
 	"github.com/pkg/errors"
 )
 
-// call is a request that was started at the backend server.
+// call is a request in progress at the backend server.
 type call struct {
 	response *http.Response
 	cancel   context.CancelFunc
 }
 
-// transport to the backend server: no retries of its own. Go's transport
-// repeats a request on a reused connection that proved dead, unless the request
-// has a body without GetBody; start takes care of that.
+// transport connects to backend servers. It must not retry on its own: http.Transport
+// resends a request when a reused connection is dead, unless the request has a body without
+// GetBody, which start ensures.
 var transport = newTransport()
 
 func newTransport() *http.Transport {
@@ -41,17 +41,17 @@
 	return t
 }
 
-// start sends the request to the server. From here on a failure is unknown,
-// unless the connection was never made.
+// start sends the request to the server. From then on, the outcome of a failure is unknown
+// unless no connection was established.
 func (a *Agent) start(j *job) (*call, *failure.Error) {
 	ctx, cancel := a.callContext(j)
 	if ctx.Err() != nil {
 		cancel()
 		a.done(j.envelope.RequestID, 0, true)
-		return nil, failure.NotRun(failure.StepRun, a.options.Server, failure.CodeCanceled, "the caller left, or the deadline passed, before the start")
+		return nil, failure.NotRun(failure.StepRun, a.options.Server, failure.CodeCanceled, "the caller disconnected or the deadline passed before the start")
 	}
-	ctx, permission := upstream.WithSendCheck(ctx, func() error { return a.permit(j) })
-	request, err := http.NewRequestWithContext(ctx, j.request.Method, a.options.Backend+j.request.URL.RequestURI(), a.once(j.body))
+	ctx, check := upstream.WithSendCheck(ctx, func() error { return a.checkSend(j) })
+	request, err := http.NewRequestWithContext(ctx, j.request.Method, a.options.Backend+j.request.URL.RequestURI(), a.nonRewindableBody(j.body))
 	if err != nil {
 		cancel()
 		a.done(j.envelope.RequestID, 0, false)
@@ -61,37 +61,36 @@
 	copyHeaders(request.Header, j.request.Header)
 	request.Header.Set(wire.HeaderPriority, strconv.Itoa(enginePriority(j.envelope.Class)))
 	request.Header.Set(wire.HeaderRequestID, j.envelope.RequestID)
-	asked := a.elapsed()
+	requestedAt := a.suspendAwareNow()
 	response, err := transport.RoundTrip(request)
-	var barred *eligibility.ExcludedError
-	if errors.As(permission.Err(), &barred) {
+	var excluded *eligibility.ExcludedError
+	if errors.As(check.Err(), &excluded) {
 		cancel()
 		a.done(j.envelope.RequestID, 0, true)
-		return nil, a.barred(barred.Exclusion)
+		return nil, a.excludedFailure(excluded.Exclusion)
 	}
 	if err != nil {
-		f := a.callFailure(ctx, err)
+		f := a.sendFailure(ctx, err)
 		cancel()
 		a.done(j.envelope.RequestID, 0, false)
 		return nil, f
 	}
-	a.hear(response)
-	a.hearLimit(response, asked)
+	a.recordReport(response)
+	a.recordLimit(response, requestedAt)
 	return &call{response: response, cancel: cancel}, nil
 }
 
-// once returns a body that the transport can't rewind, so that it never sends a
-// request a second time. An empty body is wrapped too, since the transport takes
-// a request without a body for repeatable.
-func (a *Agent) once(body []byte) io.ReadCloser {
+// nonRewindableBody returns a body that the transport can't rewind, so that it never resends
+// the request. An empty body is wrapped too: requests without a body count as replayable.
+func (a *Agent) nonRewindableBody(body []byte) io.ReadCloser {
 	return io.NopCloser(struct{ io.Reader }{bytes.NewReader(body)})
 }
 
-func (a *Agent) callFailure(ctx context.Context, err error) *failure.Error {
+func (a *Agent) sendFailure(ctx context.Context, err error) *failure.Error {
 	server := a.options.Server
 	var dial *net.OpError
 	if errors.As(err, &dial) && dial.Op == "dial" {
-		return failure.NotRun(failure.StepRun, server, failure.CodeServerLost, "the backend server refused the connection").After(comeBack)
+		return failure.NotRun(failure.StepRun, server, failure.CodeServerLost, "connection to the backend server failed").After(retryHint)
 	}
 	if errors.Is(ctx.Err(), context.DeadlineExceeded) {
 		return failure.Unknown(failure.StepRun, server, failure.CodeDeadline, "the deadline passed while running")
@@ -121,27 +120,26 @@
 	}
 }
 
-// hopHeaders are the headers of one connection, which no proxy forwards (RFC
-// 9110, section 7.6.1).
-var hopHeaders = map[string]bool{
+// hopByHopHeaders are not forwarded by proxies (RFC 9110, section 7.6.1).
+var hopByHopHeaders = map[string]bool{
 	"Connection": true, "Keep-Alive": true, "Proxy-Authenticate": true, "Proxy-Authorization": true,
 	"Te": true, "Trailer": true, "Transfer-Encoding": true, "Upgrade": true,
 }
 
-// headerPrefix marks crowbridge's own headers, which servers don't see.
+// headerPrefix marks crowbridge's own headers, which are not forwarded to servers.
 const headerPrefix = "X-Crowbridge-"
 
 func copyHeaders(to, from http.Header) {
 	for name, values := range from {
-		if hopHeaders[name] || strings.HasPrefix(name, headerPrefix) {
+		if hopByHopHeaders[name] || strings.HasPrefix(name, headerPrefix) {
 			continue
 		}
 		to[name] = values
 	}
 }
 
-// deliver relays an untracked answer: streamed when the server streams, else
-// whole.
+// deliver relays the response to a request without key deduplication, streamed if the
+// server streams or the response is large.
 func (a *Agent) deliver(j *job, c *call, f *failure.Error) *failure.Error {
 	if f != nil {
 		return f
@@ -150,41 +148,41 @@
 	if isEventStream(contentType) || c.response.ContentLength > a.options.MaxResponse {
 		return a.relay(j, c)
 	}
-	answer, f := a.collect(j, c)
+	response, f := a.readResponse(j, c)
 	if f != nil {
 		return f
 	}
-	a.write(j, answer)
+	a.write(j, response)
 	return nil
 }
 
-// collect reads the whole answer and ends the call.
-func (a *Agent) collect(j *job, c *call) (outcome.Response, *failure.Error) {
+// readResponse reads the complete response and ends the call.
+func (a *Agent) readResponse(j *job, c *call) (outcome.Response, *failure.Error) {
 	defer c.cancel()
 	body, err := io.ReadAll(io.LimitReader(c.response.Body, a.options.MaxResponse+1))
-	_ = c.response.Body.Close() // the read's error tells what matters
+	_ = c.response.Body.Close() // a read error is handled below
 	if err == nil && int64(len(body)) > a.options.MaxResponse {
-		err = errors.New("answer over the agent's limit")
+		err = errors.New("response exceeds the agent's size limit")
 	}
 	if err != nil {
 		a.done(j.envelope.RequestID, 0, false)
-		return outcome.Response{}, failure.Unknown(failure.StepRelay, a.options.Server, failure.CodeServerLost, "answer cut: "+err.Error())
+		return outcome.Response{}, failure.Unknown(failure.StepRelay, a.options.Server, failure.CodeServerLost, "response incomplete: "+err.Error())
 	}
-	a.done(j.envelope.RequestID, a.answerCost(body), c.response.StatusCode < http.StatusInternalServerError)
+	a.done(j.envelope.RequestID, a.responseCost(body), c.response.StatusCode < http.StatusInternalServerError)
 	header := http.Header{}
 	copyHeaders(header, c.response.Header)
 	return outcome.Response{Status: c.response.StatusCode, Header: header, Body: body}, nil
 }
 
-// usage is the part of an engine's answer that tells its cost.
+// usage is the part of an engine's response that reports its cost.
 type usage struct {
 	Usage struct {
 		TotalTokens float64 `json:"total_tokens"`
 	} `json:"usage"`
 }
 
-// answerCost returns the tokens that an engine reports, or 0 for "as estimated".
-func (a *Agent) answerCost(body []byte) float64 {
+// responseCost returns the tokens that an engine reports, or 0 to use the estimate.
+func (a *Agent) responseCost(body []byte) float64 {
 	if a.options.Protocol != config.ProtocolEngine {
 		return 0
 	}
@@ -197,27 +195,27 @@
 
 const relayBuffer = 16 << 10
 
-// relay streams the answer with the connection's own flow control: a caller
-// that reads slowly slows the server down, and memory stays at one buffer.
+// relay streams the response. TCP flow control passes the caller's back pressure on to the
+// server, and memory stays at one buffer.
 func (a *Agent) relay(j *job, c *call) *failure.Error {
 	defer c.cancel()
 	defer closeBody(c.response.Body)
 	copyHeaders(j.writer.Header(), c.response.Header)
-	a.stamp(j.writer.Header())
+	a.setHeaders(j.writer.Header())
 	j.headers = true
 	j.writer.WriteHeader(c.response.StatusCode)
-	written, events, err := pipe(j.writer, c.response.Body)
+	written, events, err := copyStream(j.writer, c.response.Body)
 	ok := err == nil
 	a.done(j.envelope.RequestID, float64(events), ok)
 	if ok {
 		return nil
 	}
-	a.log.WithError(err).WithField("bytes", written).Debug("stream cut")
-	return failure.Unknown(failure.StepRelay, a.options.Server, failure.CodeServerLost, "stream cut: "+err.Error())
+	a.log.WithError(err).WithField("bytes", written).Debug("response stream broke off")
+	return failure.Unknown(failure.StepRelay, a.options.Server, failure.CodeServerLost, "stream broke off: "+err.Error())
 }
 
-// pipe copies and flushes as data comes, and counts the events.
-func pipe(w http.ResponseWriter, body io.Reader) (written int64, events int, err error) {
+// copyStream copies and flushes data as it arrives, and counts the events.
+func copyStream(w http.ResponseWriter, body io.Reader) (written int64, events int, err error) {
 	controller := http.NewResponseController(w)
 	buffer := make([]byte, relayBuffer)
 	for {
@@ -242,5 +240,5 @@
 }
 
 func closeBody(body io.Closer) {
-	_ = body.Close() // the body was read or given up
+	_ = body.Close() // the body was read completely or is abandoned
 }
--- a/internal/agent/control.go
+++ b/internal/agent/control.go
@@ -11,9 +11,8 @@
 	"github.com/pkg/errors"
 )
 
-// ControlServer serves rpc.Agents for an agent.
+// ControlServer implements rpc.Agents for an agent.
 type ControlServer struct {
-	// Agent is what is served.
 	Agent *Agent
 }
 
@@ -27,16 +26,15 @@
 	}, nil
 }
 
-// engineTimeout bounds a look at the server on the same VM.
+// engineTimeout bounds a probe of the server on the same VM.
 const engineTimeout = 200 * time.Millisecond
 
-// Engine implements rpc.Agents. It looks also while the server rests: a connection on the
-// same VM that is closed at once is no request, and without it more servers may end under
-// one request before anybody knows.
+// Engine implements rpc.Agents. It probes a resting server too: the probe only connects,
+// and a late detection lets the same request crash more servers.
 func (c *ControlServer) Engine(ctx context.Context, _ *rpc.EngineRequest) (*rpc.EngineReply, error) {
 	backend, err := url.Parse(c.Agent.options.Backend)
 	if err != nil {
-		return nil, errors.Wrap(err, "backend")
+		return nil, errors.Wrap(err, "parse backend URL")
 	}
 	ctx, cancel := context.WithTimeout(ctx, engineTimeout)
 	defer cancel()
@@ -45,7 +43,7 @@
 	case crash.Listening:
 		reply.State = rpc.EngineState_ENGINE_STATE_LISTENING
 	case crash.Exited:
-		c.Agent.serverEnded()
+		c.Agent.markServerExited()
 		reply.State = rpc.EngineState_ENGINE_STATE_ENDED
 	case crash.Unknown:
 	}
--- a/internal/agent/exclusion.go
+++ b/internal/agent/exclusion.go
@@ -16,130 +16,130 @@
 )
 
 const (
-	// endLook is the time between looks whether a server that leaves has ended: so long at
-	// most does its next start wait for requests.
-	endLook = time.Second
-	// longestLeaving is for how long a server that has said it leaves gets nothing while
-	// it goes on listening: a start that took less than endLook isn't told from the one
-	// before.
-	longestLeaving = 10 * time.Minute
+	// exitCheckInterval is the time between checks whether a leaving server has exited. It
+	// bounds the delay until its next process gets requests.
+	exitCheckInterval = time.Second
+	// maxLeaving is how long a leaving server that keeps listening is excluded: a restart
+	// faster than exitCheckInterval can't be detected.
+	maxLeaving = 10 * time.Minute
 )
 
-// hear takes in what the server says of itself in an answer. What waits for its turn is
-// refused then, because other servers may take it: only what this agent starts reaches the
-// server, so that its word is kept here, for all entries.
-func (a *Agent) hear(response *http.Response) {
+// recordReport records a rest or leaving notice in a response and refuses the queued
+// requests, which other servers may accept. The agent enforces the notice for all entries,
+// since all requests to the server pass it.
+func (a *Agent) recordReport(response *http.Response) {
 	leaving := httpapi.ReadFlag(response.Header, wire.HeaderServerLeaving)
-	rest, odd := httpapi.ReadRest(response.StatusCode, response.Header)
-	if odd != "" {
-		a.log.WithField("said", odd).Warn("server asks for rest in words that can't be read: it isn't kept")
+	rest, invalid := httpapi.ReadRest(response.StatusCode, response.Header)
+	if invalid != "" {
+		a.log.WithField("said", invalid).Warn("server sent an invalid Retry-After, ignored")
 	}
 	if !leaving && rest == 0 {
 		return
 	}
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	now := a.elapsed()
-	if leaving && a.notice.MarkLeaving(now) {
-		a.log.Info("server says that it leaves")
+	now := a.suspendAwareNow()
+	if leaving && a.serverReport.MarkLeaving(now) {
+		a.log.Info("server is leaving")
 	}
 	if rest > 0 {
-		left := a.notice.RecordRest(rest, now)
-		a.log.WithFields(logrus.Fields{"asked_ms": rest.Milliseconds(), "left_ms": left.Milliseconds()}).Info("server asks for rest")
+		left := a.serverReport.RecordRest(rest, now)
+		a.log.WithFields(logrus.Fields{"asked_ms": rest.Milliseconds(), "left_ms": left.Milliseconds()}).Info("server is resting")
 	}
-	a.refuseWaiting(a.bar())
+	a.refuseWaiting(a.exclusion())
 }
 
-// bar returns why nothing may be started now, or nil. The caller holds mu.
-func (a *Agent) bar() *eligibility.Exclusion {
-	now := a.elapsed()
-	bar := a.notice.Exclusion(now)
-	if bar == nil || bar.Reason != eligibility.Leaving {
-		return bar
-	}
-	if now.Sub(a.notice.ReportedAt()) >= longestLeaving {
-		a.notice = eligibility.Report{}
+// exclusion returns why no request may be started now, or nil. The caller must hold mu.
+func (a *Agent) exclusion() *eligibility.Exclusion {
+	now := a.suspendAwareNow()
+	exclusion := a.serverReport.Exclusion(now)
+	if exclusion == nil || exclusion.Reason != eligibility.Leaving {
+		return exclusion
+	}
+	if now.Sub(a.serverReport.ReportedAt()) >= maxLeaving {
+		a.serverReport = eligibility.Report{}
 		return nil
 	}
-	if now.Sub(a.lookedAt) >= endLook {
-		a.lookedAt = now
-		go a.lookForEnd()
+	if now.Sub(a.exitCheckedAt) >= exitCheckInterval {
+		a.exitCheckedAt = now
+		go a.checkExit()
 	}
-	return bar
+	return exclusion
 }
 
-// permit is asked just before a request's bytes go to the server.
-func (a *Agent) permit(j *job) error {
+// checkSend returns an error if the request may not be sent. It is called when a connection
+// to the server is ready, right before the first byte is written.
+func (a *Agent) checkSend(j *job) error {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if bar := a.bar(); bar != nil {
-		return &eligibility.ExcludedError{Exclusion: bar}
+	if exclusion := a.exclusion(); exclusion != nil {
+		return &eligibility.ExcludedError{Exclusion: exclusion}
 	}
-	if left := a.limits.Acquire(a.options.Server, wantOf(j.envelope.Customer, j.envelope.Class), a.elapsed()); left > 0 {
+	if left := a.limits.Acquire(a.options.Server, limitRequest(j.envelope.Customer, j.envelope.Class), a.suspendAwareNow()); left > 0 {
 		return &eligibility.ExcludedError{Exclusion: &eligibility.Exclusion{Reason: eligibility.Limited, Remaining: left}}
 	}
 	return nil
 }
 
-// refuseWaiting refuses all that waits for its turn, unless bar is nil. The caller holds mu.
-func (a *Agent) refuseWaiting(bar *eligibility.Exclusion) {
-	if bar == nil {
+// refuseWaiting refuses all queued requests unless exclusion is nil. The caller must hold mu.
+func (a *Agent) refuseWaiting(exclusion *eligibility.Exclusion) {
+	if exclusion == nil {
 		return
 	}
 	for id := range a.waiters {
 		if a.queue.Withdraw(id) {
-			a.take(id).refused <- a.barred(bar)
+			a.removeWaiter(id).refused <- a.excludedFailure(exclusion)
 		}
 	}
 }
 
-// barred is the refusal of a request that may not be started.
-func (a *Agent) barred(bar *eligibility.Exclusion) *failure.Error {
-	return failure.NotRun(failure.StepQueue, a.options.Server, bar.Code(), bar.String()).After(restLeft(bar))
+// excludedFailure returns the refusal of a request while the server is excluded.
+func (a *Agent) excludedFailure(exclusion *eligibility.Exclusion) *failure.Error {
+	return failure.NotRun(failure.StepQueue, a.options.Server, exclusion.Code(), exclusion.String()).After(retryAfter(exclusion))
 }
 
-// restLeft is for how long entries needn't ask an agent whose server is barred.
-func restLeft(bar *eligibility.Exclusion) time.Duration {
+// retryAfter returns how long entries should send nothing because of an exclusion.
+func retryAfter(exclusion *eligibility.Exclusion) time.Duration {
 	switch {
-	case bar == nil:
+	case exclusion == nil:
 		return 0
-	case bar.Remaining == 0:
-		return comeBack
+	case exclusion.Remaining == 0:
+		return retryHint
 	default:
-		return bar.Remaining
+		return exclusion.Remaining
 	}
 }
 
-// restLeft is for how long entries needn't ask.
-func (a *Agent) restLeft() time.Duration {
+// retryAfter returns how long entries should send nothing.
+func (a *Agent) retryAfter() time.Duration {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if bar := a.bar(); bar != nil {
-		return restLeft(bar)
+	if exclusion := a.exclusion(); exclusion != nil {
+		return retryAfter(exclusion)
 	}
-	return a.limits.UntilAvailable(a.options.Server, a.elapsed())
+	return a.limits.UntilAvailable(a.options.Server, a.suspendAwareNow())
 }
 
-// lookForEnd looks whether a server that leaves has ended: its next start has said nothing.
-func (a *Agent) lookForEnd() {
+// checkExit clears the leaving notice if the server has exited.
+func (a *Agent) checkExit() {
 	backend, err := url.Parse(a.options.Backend)
 	if err != nil {
-		return // no request has been sent there either
+		return // no request can have been sent to an invalid URL
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), engineTimeout)
 	defer cancel()
 	if upstream.ProbeAddress(ctx, backend.Host) == crash.Exited {
-		a.serverEnded()
+		a.markServerExited()
 	}
 }
 
-// serverEnded notes that nobody listens where the server did: what it said doesn't bind its
-// next start.
-func (a *Agent) serverEnded() {
+// markServerExited clears what the exited server reported, which doesn't apply to its next
+// process.
+func (a *Agent) markServerExited() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if bar := a.notice.Exclusion(a.elapsed()); bar != nil {
-		a.notice, a.limits = eligibility.Report{}, newLimits()
-		a.log.WithField("said", bar.String()).Info("server has ended: its word doesn't bind its next start")
+	if exclusion := a.serverReport.Exclusion(a.suspendAwareNow()); exclusion != nil {
+		a.serverReport, a.limits = eligibility.Report{}, newLimits()
+		a.log.WithField("said", exclusion.String()).Info("server exited: its reported exclusion is cleared")
 	}
 }
--- a/internal/agent/exclusion_test.go
+++ b/internal/agent/exclusion_test.go
@@ -16,13 +16,10 @@
 	. "github.com/onsi/gomega"
 )
 
-// The story of servers that ask for rest (internal/dispatch/rest_story_test.go) at the door
-// of one server: its agent alone decides what starts there, from whichever entry it comes.
-
-// longRest is longer than these tests take, so that nothing may start meanwhile.
+// longRest is a Retry-After, in seconds, that exceeds the duration of these tests.
 const longRest = "60"
 
-// restingBackend answers its first request with a rest that it asks for, once released.
+// restingBackend responds to its first request with Retry-After, once released.
 func restingBackend(runs *atomic.Int64, release <-chan struct{}) http.HandlerFunc {
 	return func(w http.ResponseWriter, _ *http.Request) {
 		if runs.Add(1) > 1 {
@@ -35,40 +32,41 @@
 	}
 }
 
-func TestAgentLetsItsServerRest(t *testing.T) {
-	g := NewWithT(t) // specs that have ended may still be asking
+// Guards against starting new or queued requests while the server rests.
+func TestAgentSendsNothingToARestingServer(t *testing.T) {
+	g := NewWithT(t)
 	var runs atomic.Int64
 	release := make(chan struct{})
 	backend := httptest.NewServer(restingBackend(&runs, release))
 	t.Cleanup(backend.Close)
-	b := benchUntil(t.Cleanup, backend.URL, 1)
+	b := newFixtureWithCleanup(t.Cleanup, backend.URL, 1)
 
-	// One runs and two wait for their turn, one of them with a key, as the server speaks.
-	var waiting sync.WaitGroup
-	replies := make(chan *http.Response, 3)
-	send := func(q ask) {
-		waiting.Go(func() {
+	// One request runs and two are queued, one of them keyed, when the server asks for rest.
+	var group sync.WaitGroup
+	responses := make(chan *http.Response, 3)
+	send := func(q testRequest) {
+		group.Go(func() {
 			response, _, err := b.try(q)
 			if err != nil {
 				t.Error(err)
 			}
-			replies <- response
+			responses <- response
 		})
 	}
-	send(ask{})
+	send(testRequest{})
 	g.Eventually(runs.Load).Should(Equal(int64(1)))
-	send(ask{idempotent: true})
-	send(ask{key: newKey()})
+	send(testRequest{idempotent: true})
+	send(testRequest{key: newKey()})
 	g.Eventually(func() int { return b.agent.Load().Queued }).Should(Equal(2))
 	close(release)
-	waiting.Wait()
+	group.Wait()
 	for range 3 {
-		response := <-replies
+		response := <-responses
 		g.Expect(response.StatusCode).To(Equal(http.StatusServiceUnavailable))
 	}
 
-	// Those that come later are refused at once, and told when.
-	for _, q := range []ask{{}, {idempotent: true}, {key: newKey()}} {
+	// Later requests are refused immediately with Retry-After.
+	for _, q := range []testRequest{{}, {idempotent: true}, {key: newKey()}} {
 		response, _, err := b.try(q)
 		g.Expect(err).NotTo(HaveOccurred())
 		g.Expect(outcomeOf(response)).To(Equal("not-run"))
@@ -76,10 +74,11 @@
 		g.Expect(err).NotTo(HaveOccurred())
 		g.Expect(hint).To(BeNumerically(">", 30*time.Second))
 	}
-	g.Expect(runs.Load()).To(Equal(int64(1)), "requests that reached the server while it rests")
+	g.Expect(runs.Load()).To(Equal(int64(1)), "requests that reached the resting server")
 }
 
-func TestAgentSendsNothingToAServerThatLeaves(t *testing.T) {
+// Guards against sending to a leaving server, and against excluding its next process.
+func TestAgentSendsNothingToALeavingServer(t *testing.T) {
 	g := NewWithT(t)
 	var runs atomic.Int64
 	backend := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
@@ -88,28 +87,28 @@
 		fmt.Fprint(w, "done")
 	}))
 	address := backend.Listener.Addr().String()
-	b := benchUntil(t.Cleanup, backend.URL, 1)
+	b := newFixtureWithCleanup(t.Cleanup, backend.URL, 1)
 	status := func() int {
-		response, _, err := b.try(ask{idempotent: true})
+		response, _, err := b.try(testRequest{idempotent: true})
 		g.Expect(err).NotTo(HaveOccurred())
 		return response.StatusCode
 	}
-	g.Expect(status()).To(Equal(http.StatusOK), "the answer that says so is the caller's")
+	g.Expect(status()).To(Equal(http.StatusOK), "the response that reports leaving is delivered")
 	for range 5 {
 		g.Expect(status()).To(Equal(http.StatusServiceUnavailable))
 	}
-	response, _, err := b.try(ask{key: newKey()})
+	response, _, err := b.try(testRequest{key: newKey()})
 	g.Expect(err).NotTo(HaveOccurred())
-	g.Expect(response.Header.Get(wire.HeaderKeyClosed)).NotTo(BeEmpty(), "a key moves on to its next home")
+	g.Expect(response.Header.Get(wire.HeaderKeyClosed)).NotTo(BeEmpty(), "the key is closed for its next home")
 	g.Expect(runs.Load()).To(Equal(int64(1)))
 
-	// Its next start has said nothing.
+	// The next process at the address gets requests.
 	backend.Close()
 	g.Eventually(func() bool {
-		status() // the agent looks while it's asked
+		status() // the agent checks for an exit on requests
 		b.agent.mu.Lock()
 		defer b.agent.mu.Unlock()
-		return b.agent.bar() == nil
+		return b.agent.exclusion() == nil
 	}, "10s").Should(BeTrue())
 	listener, err := net.Listen("tcp", address)
 	g.Expect(err).NotTo(HaveOccurred())
@@ -121,7 +120,8 @@
 	g.Expect(status()).To(Equal(http.StatusOK))
 }
 
-func TestARestDoesNotBindTheNextStart(t *testing.T) {
+// Guards against applying a server's rest to its next process.
+func TestRestEndsWhenTheServerExits(t *testing.T) {
 	g := NewWithT(t)
 	var runs atomic.Int64
 	backend := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
@@ -129,19 +129,19 @@
 		w.Header().Set("Retry-After", longRest)
 		w.WriteHeader(http.StatusServiceUnavailable)
 	}))
-	b := benchUntil(t.Cleanup, backend.URL, 1)
-	_, _, err := b.try(ask{})
+	b := newFixtureWithCleanup(t.Cleanup, backend.URL, 1)
+	_, _, err := b.try(testRequest{})
 	g.Expect(err).NotTo(HaveOccurred())
 	control := &ControlServer{Agent: b.agent}
-	look := func() rpc.EngineState {
+	probe := func() rpc.EngineState {
 		reply, err := control.Engine(context.Background(), &rpc.EngineRequest{})
 		g.Expect(err).NotTo(HaveOccurred())
 		return reply.GetState()
 	}
-	g.Expect(look()).To(Equal(rpc.EngineState_ENGINE_STATE_LISTENING), "it's looked at while it rests")
-	g.Expect(b.agent.permit(&job{envelope: &wire.Envelope{}})).To(HaveOccurred())
+	g.Expect(probe()).To(Equal(rpc.EngineState_ENGINE_STATE_LISTENING), "a resting server is probed")
+	g.Expect(b.agent.checkSend(&job{envelope: &wire.Envelope{}})).To(HaveOccurred())
 	backend.Close()
-	g.Expect(look()).To(Equal(rpc.EngineState_ENGINE_STATE_ENDED))
-	g.Expect(b.agent.permit(&job{envelope: &wire.Envelope{}})).To(Succeed())
+	g.Expect(probe()).To(Equal(rpc.EngineState_ENGINE_STATE_ENDED))
+	g.Expect(b.agent.checkSend(&job{envelope: &wire.Envelope{}})).To(Succeed())
 	g.Expect(runs.Load()).To(Equal(int64(1)))
 }
--- a/internal/agent/handler.go
+++ b/internal/agent/handler.go
@@ -16,7 +16,7 @@
 	"github.com/crowbridge/crowbridge/internal/wire"
 )
 
-// job is one request on its way through the agent.
+// job is a request and its state in the agent.
 type job struct {
 	envelope *wire.Envelope
 	request  *http.Request
@@ -24,21 +24,21 @@
 	deadline time.Time
 	ticket   *outcome.Ticket
 	writer   http.ResponseWriter
-	headers  bool // the answer's headers were sent
+	headers  bool // the response headers were sent
 }
 
 func (j *job) key() outcome.Key {
 	return outcome.Key{Customer: j.envelope.Customer, Value: j.envelope.Key}
 }
 
-// tracked tells whether the key table has a say: only requests that may not be
-// repeated need it.
+// tracked reports whether the key table deduplicates the request: it has an idempotency
+// key and is not idempotent.
 func (j *job) tracked() bool { return j.envelope.Key != "" && !j.envelope.Idempotent }
 
-// ServeHTTP takes one request from an entry.
+// ServeHTTP serves a request from an entry.
 func (a *Agent) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	given := r.Header.Get(wire.HeaderAuth)
-	if subtle.ConstantTimeCompare([]byte(given), []byte(a.options.Key)) != 1 {
+	daemonKey := r.Header.Get(wire.HeaderAuth)
+	if subtle.ConstantTimeCompare([]byte(daemonKey), []byte(a.options.Key)) != 1 {
 		a.refuse(w, failure.NotRun(failure.StepAuthenticate, a.options.Server, failure.CodeUnauthorized, "wrong daemon key"))
 		return
 	}
@@ -52,23 +52,23 @@
 	}
 	j.ticket.Close(f.Outcome)
 	if j.headers {
-		panic(http.ErrAbortHandler) // tell the entry that the answer is cut
+		panic(http.ErrAbortHandler) // drop the connection, so that the entry detects the incomplete response
 	}
 	a.refuse(w, f)
 }
 
 func (a *Agent) refuse(w http.ResponseWriter, f *failure.Error) {
-	a.stamp(w.Header())
+	a.setHeaders(w.Header())
 	wire.WriteFailure(w.Header(), f)
 	w.WriteHeader(f.Status())
 }
 
-// stamp sets the headers that every answer carries.
-func (a *Agent) stamp(h http.Header) {
+// setHeaders sets the headers that all responses carry.
+func (a *Agent) setHeaders(h http.Header) {
 	h.Set(wire.HeaderServer, a.options.Server)
 	h.Set(wire.HeaderIncarnation, a.incarnation)
 	h.Set(wire.HeaderLoad, a.Load().String())
-	wire.WriteRest(h, a.restLeft())
+	wire.WriteRest(h, a.retryAfter())
 }
 
 func (a *Agent) run(j *job) *failure.Error {
@@ -78,8 +78,8 @@
 	if j.tracked() {
 		return a.runTracked(j)
 	}
-	answer, f := a.admitAndCall(j)
-	return a.deliver(j, answer, f)
+	c, f := a.enqueueAndStart(j)
+	return a.deliver(j, c, f)
 }
 
 func (a *Agent) read(j *job) *failure.Error {
@@ -91,50 +91,51 @@
 	j.deadline = a.now().Add(envelope.Budget)
 	if envelope.Server != a.options.Server {
 		return failure.NotRun(failure.StepRoute, a.options.Server, failure.CodeWrongServer,
-			"meant for "+envelope.Server+": the address was reused")
+			"request is for server "+envelope.Server+": the address was reused")
 	}
 	j.body, err = io.ReadAll(io.LimitReader(j.request.Body, a.options.MaxBody+1))
 	if err != nil {
-		return failure.NotRun(failure.StepParse, a.options.Server, failure.CodeInvalid, "body cut: "+err.Error())
+		return failure.NotRun(failure.StepParse, a.options.Server, failure.CodeInvalid, "body incomplete: "+err.Error())
 	}
 	if int64(len(j.body)) > a.options.MaxBody {
-		return failure.NotRun(failure.StepParse, a.options.Server, failure.CodeTooLarge, "body over the agent's limit")
+		return failure.NotRun(failure.StepParse, a.options.Server, failure.CodeTooLarge, "body exceeds the agent's size limit")
 	}
 	return nil
 }
 
-// requestHash identifies what a key stands for: repeats must ask for the same.
+// requestHash returns a hash of method, URI and body. Requests that share a key must have
+// the same hash.
 func requestHash(j *job) string {
 	digest := sha256.New()
 	for _, part := range []string{j.request.Method, "\n", j.request.URL.RequestURI(), "\n"} {
-		_, _ = io.WriteString(digest, part) // a hash never fails to write
+		_, _ = io.WriteString(digest, part) // never fails for a hash
 	}
 	_, _ = digest.Write(j.body)
 	return hex.EncodeToString(digest.Sum(nil))
 }
 
-// runTracked runs a request that may not be repeated, at most once per key.
+// runTracked runs the request at most once per idempotency key.
 func (a *Agent) runTracked(j *job) *failure.Error {
 	key := j.key()
 	for {
-		verdict, answer, done := a.beginKey(key, requestHash(j), j.envelope.Homes)
-		switch verdict {
+		decision, response, done := a.beginKey(key, requestHash(j), j.envelope.Homes)
+		switch decision {
 		case outcome.DecisionRun:
 			return a.runKeyed(j, key)
 		case outcome.DecisionReplay:
-			a.replay(j, answer)
+			a.replay(j, response)
 			return nil
 		case outcome.DecisionWait:
-			if f := a.await(j, done); f != nil {
+			if f := a.waitForKey(j, done); f != nil {
 				return f
 			}
 		default:
-			return a.keyRefusal(j, verdict)
+			return a.keyFailure(j, decision)
 		}
 	}
 }
 
-func (a *Agent) await(j *job, done <-chan struct{}) *failure.Error {
+func (a *Agent) waitForKey(j *job, done <-chan struct{}) *failure.Error {
 	timer := time.NewTimer(j.deadline.Sub(a.now()))
 	defer timer.Stop()
 	select {
@@ -144,39 +145,39 @@
 	case <-timer.C:
 	}
 	return failure.Unknown(failure.StepQueue, a.options.Server, failure.CodeKeyInProgress,
-		"an earlier request with this key is still running: ask again with the same key").After(comeBack)
+		"an earlier request with this key is still running: retry with the same key").After(retryHint)
 }
 
-func (a *Agent) keyRefusal(j *job, verdict outcome.Decision) *failure.Error {
+func (a *Agent) keyFailure(j *job, decision outcome.Decision) *failure.Error {
 	server := a.options.Server
-	switch verdict {
+	switch decision {
 	case outcome.DecisionConflict:
 		return failure.NotRun(failure.StepQueue, server, failure.CodeKeyConflict,
-			"this key was used for another request: use a new key")
-	case verdictStale:
+			"this key was used for a different request: use a new key")
+	case decisionStale:
 		return failure.Unknown(failure.StepQueue, server, failure.CodeStaleHomes,
-			"entry and agent know different homes for this key: ask again").After(comeBack)
+			"entry and agent disagree about the homes of this key: retry").After(retryHint)
 	case outcome.DecisionFull:
 		return failure.NotRun(failure.StepQueue, server, failure.CodeOverloaded,
-			"no room for more idempotency keys").After(comeBack)
+			"the table of idempotency keys is full").After(retryHint)
 	case outcome.DecisionClosed:
 		j.writer.Header().Set(wire.HeaderKeyClosed, "1")
-		return failure.NotRun(failure.StepQueue, server, failure.CodeLeaving, "the server is leaving; the key may move on").After(comeBack)
+		return failure.NotRun(failure.StepQueue, server, failure.CodeLeaving, "the server is leaving: the next home may run the key").After(retryHint)
 	default:
 		return failure.Unknown(failure.StepQueue, server, failure.CodeKeyUnresolved,
-			"an earlier start with this key can't be ruled out: look at the server's own records")
+			"an earlier run with this key can't be ruled out: check the server's own records")
 	}
 }
 
-// runKeyed runs the request detached from its caller: once started, its answer
-// is recorded for repeats even when this caller is gone.
+// runKeyed runs the request detached from its caller: once started, its response is
+// recorded for retries even if the caller disconnects.
 func (a *Agent) runKeyed(j *job, key outcome.Key) *failure.Error {
-	answer, f := a.admitAndCall(j)
+	c, f := a.enqueueAndStart(j)
 	if f != nil {
 		a.endKey(key, f.Outcome, outcome.Response{})
 		return f
 	}
-	recorded, f := a.collect(j, answer)
+	recorded, f := a.readResponse(j, c)
 	if f != nil {
 		a.endKey(key, f.Outcome, outcome.Response{})
 		return f
@@ -186,25 +187,25 @@
 	return nil
 }
 
-func (a *Agent) replay(j *job, answer outcome.Response) {
+func (a *Agent) replay(j *job, response outcome.Response) {
 	j.writer.Header().Set(wire.HeaderReplayed, "1")
-	a.write(j, answer)
+	a.write(j, response)
 }
 
-func (a *Agent) write(j *job, answer outcome.Response) {
-	copyHeaders(j.writer.Header(), answer.Header)
-	a.stamp(j.writer.Header())
+func (a *Agent) write(j *job, response outcome.Response) {
+	copyHeaders(j.writer.Header(), response.Header)
+	a.setHeaders(j.writer.Header())
 	j.writer.Header().Set(wire.HeaderOutcome, string(failure.OutcomeAnswered))
 	j.headers = true
-	j.writer.WriteHeader(answer.Status)
-	// The answer is recorded; an entry that left asks for it again.
-	_, _ = j.writer.Write(answer.Body)
+	j.writer.WriteHeader(response.Status)
+	// A write error means that the entry disconnected; keyed responses are kept for retries.
+	_, _ = j.writer.Write(response.Body)
 }
 
-// admitAndCall waits for the request's turn and starts it at the server. A
-// returned call is running and must be ended.
-func (a *Agent) admitAndCall(j *job) (*call, *failure.Error) {
-	w, f := a.offer(admission.Request{
+// enqueueAndStart queues the request and starts it at the server when it is scheduled. The
+// caller must end the returned call.
+func (a *Agent) enqueueAndStart(j *job) (*call, *failure.Error) {
+	w, f := a.enqueue(admission.Request{
 		ID: j.envelope.RequestID, Customer: j.envelope.Customer, Weight: j.envelope.Weight,
 		Class: j.envelope.Class, Deadline: j.deadline, Cost: j.envelope.Cost,
 	})
@@ -217,7 +218,7 @@
 		return nil, f
 	case <-j.request.Context().Done():
 		if a.withdraw(j.envelope.RequestID) {
-			return nil, failure.NotRun(failure.StepQueue, a.options.Server, failure.CodeCanceled, "the caller left while waiting")
+			return nil, failure.NotRun(failure.StepQueue, a.options.Server, failure.CodeCanceled, "the caller disconnected while queued")
 		}
 		select {
 		case f := <-w.refused:
--- a/internal/agent/ratelimit.go
+++ b/internal/agent/ratelimit.go
@@ -14,41 +14,42 @@
 	"github.com/sirupsen/logrus"
 )
 
-// newLimits returns a table for the one server of an agent: no other daemon sends to it.
+// newLimits returns the limit table of an agent, the only daemon that sends to its server.
 func newLimits() *ratelimit.Table { return ratelimit.New(rand.Uint64()|1, rand.Float64) }
 
-// wantOf is what decides about a customer's request when little of the limit is left.
-func wantOf(customer string, class config.Class) ratelimit.Request {
+// limitRequest returns the properties of a request that its priority under the limit
+// depends on.
+func limitRequest(customer string, class config.Class) ratelimit.Request {
 	return ratelimit.Request{Customer: customer, PriorityGap: enginePriority(class)}
 }
 
-// hearLimit takes in what the server says of the requests that it takes a second, in the answer
-// to a request that was sent after a time.
-func (a *Agent) hearLimit(response *http.Response, asked time.Time) {
-	limit, named, odd := httpapi.ReadLimit(response.Header, wire.HeaderServerLimit)
-	if odd != "" {
-		a.log.WithField("said", odd).Warn("server names a limit that can't be read: what it said before holds")
+// recordLimit records the rate limit in a response to a request that was sent after
+// requestedAt.
+func (a *Agent) recordLimit(response *http.Response, requestedAt time.Time) {
+	limit, present, invalid := httpapi.ReadLimit(response.Header, wire.HeaderServerLimit)
+	if invalid != "" {
+		a.log.WithField("said", invalid).Warn("server sent an invalid rate limit, keeping the previous one")
 	}
-	if !named && (odd != "" || response.StatusCode >= http.StatusInternalServerError) {
+	if !present && (invalid != "" || response.StatusCode >= http.StatusInternalServerError) {
 		return
 	}
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	word := ratelimit.Limit{Present: named, PerSecond: limit, RequestedAt: asked, ReceivedAt: a.elapsed()}
-	if before, changed := a.limits.UpdateLimit(a.options.Server, word); changed {
+	reported := ratelimit.Limit{Present: present, PerSecond: limit, RequestedAt: requestedAt, ReceivedAt: a.suspendAwareNow()}
+	if before, changed := a.limits.UpdateLimit(a.options.Server, reported); changed {
 		a.log.WithFields(logrus.Fields{
-			"limit": limit, "named": named, "before": before.PerSecond, "before_named": before.Present,
-		}).Info("server names another limit")
+			"limit": limit, "named": present, "before": before.PerSecond, "before_named": before.Present,
+		}).Info("server changed its rate limit")
 	}
 }
 
-// overLimit refuses a request at once that the server's limit leaves no room for now, or
-// returns nil. The caller holds mu.
+// overLimit returns the refusal of a request that exceeds the server's rate limit, or nil.
+// The caller must hold mu.
 func (a *Agent) overLimit(r admission.Request) *failure.Error {
-	want, now := wantOf(r.Customer, r.Class), a.elapsed()
-	if a.limits.Wait(a.options.Server, want, now) == 0 {
+	request, now := limitRequest(r.Customer, r.Class), a.suspendAwareNow()
+	if a.limits.Wait(a.options.Server, request, now) == 0 {
 		return nil
 	}
 	return failure.NotRun(failure.StepQueue, a.options.Server, failure.CodeLimited,
-		"the server's limit allows no request now").After(a.limits.RecordRefusal([]string{a.options.Server}, want, now))
+		"the server's rate limit is exhausted").After(a.limits.RecordRefusal([]string{a.options.Server}, request, now))
 }
--- a/internal/agent/ratelimit_test.go
+++ b/internal/agent/ratelimit_test.go
@@ -13,9 +13,8 @@
 	"github.com/crowbridge/crowbridge/internal/wire"
 )
 
-// A server's agent alone decides what starts there, from whichever entry it comes.
-
-func TestAgentKeepsItsServersLimit(t *testing.T) {
+// Guards against exceeding a server's rate limit with plain, keyed and idempotent requests.
+func TestAgentEnforcesServerRateLimit(t *testing.T) {
 	g := NewWithT(t)
 	var runs atomic.Int64
 	backend := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
@@ -24,9 +23,9 @@
 		fmt.Fprint(w, "done")
 	}))
 	t.Cleanup(backend.Close)
-	b := benchUntil(t.Cleanup, backend.URL, 4)
+	b := newFixtureWithCleanup(t.Cleanup, backend.URL, 4)
 	for n := range 40 {
-		q := ask{idempotent: n%3 == 0}
+		q := testRequest{idempotent: n%3 == 0}
 		if n%3 == 1 {
 			q.key = newKey()
 		}
@@ -40,6 +39,6 @@
 		g.Expect(err).NotTo(HaveOccurred())
 		g.Expect(hint).To(BeNumerically(">", 0))
 	}
-	// One that brings the word, and what may come at once after a quiet time.
-	g.Expect(runs.Load()).To(BeNumerically("<=", 5), "requests at a server that takes one in 10 s")
+	// The first response reports the limit; a short burst may follow.
+	g.Expect(runs.Load()).To(BeNumerically("<=", 5), "requests sent to a server with a limit of one per 10 s")
 }
--- a/internal/agent/recorder.go
+++ b/internal/agent/recorder.go
@@ -13,8 +13,8 @@
 	"github.com/sirupsen/logrus"
 )
 
-// Recorder puts the beginning and the planned end of the agent's run onto the
-// log, by way of the entries, so that the next run knows which keys may have run.
+// Recorder records the start and the planned end of the agent's process on the log, through
+// the entries, so that the next process knows which keys may have run.
 type Recorder struct {
 	agent   *Agent
 	replica *replica.Replica
@@ -22,8 +22,8 @@
 	log     *logrus.Entry
 }
 
-// NewRecorder returns a recorder that reaches the log through entries at the
-// given control addresses, tried in turn.
+// NewRecorder returns a recorder that appends through the entries at the given control
+// addresses, tried in turn.
 func NewRecorder(agent *Agent, rep *replica.Replica, addresses []string, client *http.Client, log *logrus.Entry) *Recorder {
 	r := &Recorder{agent: agent, replica: rep, log: log}
 	for _, address := range addresses {
@@ -33,17 +33,18 @@
 }
 
 const (
-	recordTimeout = 2 * time.Second
-	recordAgain   = 2 * time.Second
+	recordTimeout       = 2 * time.Second
+	recordRetryInterval = 2 * time.Second
 )
 
-// RecordStart records the beginning, as soon as the log can be reached, and returns.
+// RecordStart records the start of the process, retrying until it succeeds or the context
+// ends.
 func (r *Recorder) RecordStart(ctx context.Context) error {
 	for ctx.Err() == nil {
-		if r.replica.View().Position.HasRecord() && r.begin(ctx) {
+		if r.replica.View().Position.HasRecord() && r.appendStart(ctx) {
 			return nil
 		}
-		timer := time.NewTimer(recordAgain)
+		timer := time.NewTimer(recordRetryInterval)
 		select {
 		case <-timer.C:
 		case <-r.replica.Changed():
@@ -55,11 +56,11 @@
 	return nil
 }
 
-// begin appends the beginning and waits until the fold has taken it. It is
-// repeated when another record came in between; the fold takes the first only.
-func (r *Recorder) begin(ctx context.Context) bool {
+// appendStart appends the start and waits until the replica has applied it. It reports
+// whether that succeeded; if another record was appended in between, the caller retries.
+func (r *Recorder) appendStart(ctx context.Context) bool {
 	server := r.agent.options.Server
-	if r.mine() {
+	if r.confirmed() {
 		return true
 	}
 	previous := config.NoOffset
@@ -70,40 +71,40 @@
 	defer cancel()
 	err := r.append(ctx, &config.AgentEvent{Server: server, Incarnation: r.agent.incarnation, Previous: previous})
 	if err != nil {
-		r.log.WithError(err).Debug("beginning not recorded yet")
+		r.log.WithError(err).Debug("start not recorded yet")
 		return false
 	}
-	return r.replica.Wait(ctx, r.mine) == nil
+	return r.replica.Wait(ctx, r.confirmed) == nil
 }
 
-// mine tells whether the log says that this run is on, and takes over what it
-// inherits.
-func (r *Recorder) mine() bool {
+// confirmed reports whether the log has this process as the current one. If so, it applies
+// the inherited keys.
+func (r *Recorder) confirmed() bool {
 	run, known := r.replica.Agent(r.agent.options.Server)
 	if !known || run.Incarnation != r.agent.incarnation {
 		return false
 	}
-	r.agent.recorded(inheritance(run.Inherited))
+	r.agent.setInherited(inheritedKeys(run.Inherited))
 	return true
 }
 
-func inheritance(h *config.Handover) *outcome.Handover {
+func inheritedKeys(h *config.Handover) *outcome.Handover {
 	if h == nil {
 		return nil
 	}
-	seen := map[uint64]bool{}
+	hashes := map[uint64]bool{}
 	for _, hash := range h.Hashes() {
-		seen[hash] = true
+		hashes[hash] = true
 	}
 	return &outcome.Handover{
-		CoveredFrom: time.UnixMilli(h.CoveredFromMs), SealedAt: time.UnixMilli(h.SealedMs), CoversUntimed: h.Untimed, Seen: seen,
+		CoveredFrom: time.UnixMilli(h.CoveredFromMs), SealedAt: time.UnixMilli(h.SealedMs), CoversUntimed: h.Untimed, Seen: hashes,
 	}
 }
 
-// Seal ends the agent's key table and records its handover. When that fails, the
-// next run goes without, which is safe.
+// Seal closes the agent's key table and records the handover to the next process. If that
+// fails, the next process reports recent keys as unknown, which is safe.
 func (r *Recorder) Seal(ctx context.Context) {
-	handover := r.agent.seal()
+	handover := r.agent.sealKeys()
 	if handover == nil {
 		return
 	}
@@ -121,7 +122,7 @@
 		},
 	})
 	if err != nil {
-		r.log.WithError(err).Warn("handover not recorded; the next run will call recent keys unknown")
+		r.log.WithError(err).Warn("handover not recorded; the next process will report recent keys as unknown")
 	}
 }
 
@@ -136,16 +137,16 @@
 			return nil
 		}
 	}
-	return errors.Wrap(err, "no entry reaches the log")
+	return errors.Wrap(err, "append through any entry")
 }
 
-func (a *Agent) recorded(inherited *outcome.Handover) {
+func (a *Agent) setInherited(inherited *outcome.Handover) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.keys.MarkRecorded(inherited)
 }
 
-func (a *Agent) seal() *outcome.Handover {
+func (a *Agent) sealKeys() *outcome.Handover {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.keys.Seal(a.now())
