--- a/internal/admission/flow.go
+++ b/internal/admission/flow.go
@@ -5,23 +5,23 @@
 	"time"
 )
 
-// flow is one customer's requests in one class, served first in, first out.
+// flow is the FIFO queue of one customer in one class.
 type flow struct {
 	customer string
 	weight   int
 	items    []*waiting
-	head     int     // index of the first live item
-	live     int     // items not withdrawn
+	head     int     // index of the first item not removed
+	live     int     // number of items not removed
 	cost     float64 // cost of the live items
 	start    float64 // virtual start time of the next item
-	index    int     // place in the class's heap, -1 when it waits for nothing
+	index    int     // position in the class's heap, -1 if nothing waits
 }
 
-// backlog is the waiting cost per weight.
+// backlog returns the waiting cost per weight.
 func (f *flow) backlog() float64 { return f.cost / float64(f.weight) }
 
-func (f *flow) skipGone() {
-	for f.head < len(f.items) && f.items[f.head].gone {
+func (f *flow) skipRemoved() {
+	for f.head < len(f.items) && f.items[f.head].removed {
 		f.items[f.head] = nil
 		f.head++
 	}
@@ -32,7 +32,7 @@
 }
 
 func (f *flow) first() *waiting {
-	f.skipGone()
+	f.skipRemoved()
 	if f.head >= len(f.items) {
 		return nil
 	}
@@ -41,18 +41,17 @@
 
 func (f *flow) newest() *waiting {
 	for i := len(f.items) - 1; i >= f.head; i-- {
-		if !f.items[i].gone {
+		if !f.items[i].removed {
 			return f.items[i]
 		}
 	}
 	return nil
 }
 
-// classQueue is start-time fair queueing over the flows of one class. A flow's
-// virtual start time grows by cost/weight with each request that it runs, and
-// the flow with the least goes next. A flow that returns after a pause starts
-// at the class's virtual time: it neither saves up nor owes, but for corrections
-// of what its requests really cost.
+// classQueue implements start-time fair queueing over the flows of one class. A flow's virtual
+// start time advances by cost/weight per dispatched request, and the flow with the lowest
+// start time is served next. A flow that becomes active starts at the class's virtual time:
+// idle time earns no credit. Corrections of actual costs are kept.
 type classQueue struct {
 	flows     map[string]*flow
 	heap      flowHeap
@@ -72,7 +71,7 @@
 func (c *classQueue) push(item *waiting) {
 	f := c.flows[item.request.Customer]
 	if f == nil {
-		c.dropIdle()
+		c.evictIdle()
 		f = &flow{customer: item.request.Customer, index: -1}
 		c.flows[item.request.Customer] = f
 	}
@@ -90,11 +89,10 @@
 	}
 }
 
-// maxIdleFlows is how many customers that wait for nothing are remembered for
-// later cost corrections.
+// maxIdleFlows bounds the idle flows kept for later cost corrections.
 const maxIdleFlows = 8192
 
-func (c *classQueue) dropIdle() {
+func (c *classQueue) evictIdle() {
 	if len(c.flows) < maxIdleFlows {
 		return
 	}
@@ -114,7 +112,7 @@
 			continue
 		}
 		if !item.request.Deadline.After(now) {
-			return nil // overdue: Expired takes it out first
+			return nil // overdue: TakeRefusals removes it
 		}
 		return item
 	}
@@ -124,37 +122,37 @@
 func (c *classQueue) pop(item *waiting) *flow {
 	f := item.flow
 	c.virtual = max(c.virtual, f.start)
-	c.forget(item)
+	c.markRemoved(item)
 	f.start += item.request.Cost / float64(f.weight)
 	c.reschedule(f)
 	return f
 }
 
 func (c *classQueue) remove(item *waiting) {
-	c.forget(item)
+	c.markRemoved(item)
 	c.reschedule(item.flow)
 }
 
-// forget marks the item and drops it from the counts; heaps let go of it lazily.
-func (c *classQueue) forget(item *waiting) {
-	item.gone = true
+// markRemoved marks the item as removed and updates the counts. The heaps drop removed items
+// lazily.
+func (c *classQueue) markRemoved(item *waiting) {
+	item.removed = true
 	f := item.flow
 	f.live--
 	f.cost -= item.request.Cost
 	c.cost -= item.request.Cost
 	c.waiting--
 	if c.waiting == 0 {
-		c.cost = 0 // sheds rounding errors
+		c.cost = 0 // drops rounding errors
 	}
-	f.skipGone()
-	for len(c.deadlines) > 0 && c.deadlines[0].gone {
+	f.skipRemoved()
+	for len(c.deadlines) > 0 && c.deadlines[0].removed {
 		heap.Pop(&c.deadlines)
 	}
 	c.compactDeadlines()
 }
 
-// compactDeadlines rebuilds the heap when most of it is gone, so that lazily
-// dropped items never hold more memory than the live ones twice over.
+// compactDeadlines rebuilds the heap once at least half of its items are removed.
 func (c *classQueue) compactDeadlines() {
 	const small = 64
 	if len(c.deadlines) < small || len(c.deadlines) < 2*c.waiting {
@@ -162,7 +160,7 @@
 	}
 	kept := c.deadlines[:0]
 	for _, item := range c.deadlines {
-		if !item.gone {
+		if !item.removed {
 			kept = append(kept, item)
 		}
 	}
@@ -185,8 +183,9 @@
 	f.index = -1
 }
 
-// correct charges what a request cost beyond its estimate; less is a refund.
-func (c *classQueue) correct(f *flow, difference float64) {
+// adjustCost charges the difference between a request's actual and estimated cost, which may
+// be negative.
+func (c *classQueue) adjustCost(f *flow, difference float64) {
 	if f == nil || c.flows[f.customer] != f {
 		return
 	}
@@ -194,11 +193,11 @@
 	c.reschedule(f)
 }
 
-func (c *classQueue) overdue(now time.Time) []*waiting {
+func (c *classQueue) popOverdue(now time.Time) []*waiting {
 	var due []*waiting
 	for len(c.deadlines) > 0 {
 		item := c.deadlines[0]
-		if item.gone {
+		if item.removed {
 			heap.Pop(&c.deadlines)
 			continue
 		}
@@ -211,7 +210,7 @@
 	return due
 }
 
-// longest returns the flow with the most waiting cost per weight.
+// longest returns the flow with the largest waiting cost per weight.
 func (c *classQueue) longest() *flow {
 	var longest *flow
 	for _, f := range c.heap {
@@ -229,15 +228,15 @@
 	return 0
 }
 
-// ahead estimates the cost that fair queueing serves before a new request of
-// the customer: its own backlog, and as much per weight of every other flow.
-func (c *classQueue) ahead(request Request) float64 {
+// costAhead estimates the cost that is served before a new request of the customer: its own
+// backlog, and up to as much per weight of every other flow.
+func (c *classQueue) costAhead(request Request) float64 {
 	own := c.backlog(request.Customer)
-	mine := own + request.Cost/float64(request.Weight)
+	ownTotal := own + request.Cost/float64(request.Weight)
 	total := own * float64(request.Weight)
 	for _, f := range c.heap {
 		if f.customer != request.Customer {
-			total += min(f.backlog(), mine) * float64(f.weight)
+			total += min(f.backlog(), ownTotal) * float64(f.weight)
 		}
 	}
 	return total
--- a/internal/admission/queue.go
+++ b/internal/admission/queue.go
@@ -1,8 +1,7 @@
-// Package admission decides, for one backend server, which request runs next:
-// priority classes with deadlines, weighted fair sharing between customers
-// within a class, a guaranteed share for patient work, and a concurrency limit
-// that follows the server's latency. It is a pure aggregate: time comes in as
-// an argument, and nothing in it blocks.
+// Package admission decides which request runs next at one backend server. It implements
+// priority classes with deadlines, weighted fair sharing between customers within a class, a
+// guaranteed share for patient requests, and a concurrency limit that adapts to the server's
+// latency. It does no I/O and never blocks; time is an argument.
 package admission
 
 import (
@@ -11,9 +10,9 @@
 	"github.com/crowbridge/crowbridge/internal/failure"
 )
 
-// Queue is the aggregate. Invariants: a request is in exactly one of queue and
-// run table, or in neither once it ended; a request that Withdraw reported as
-// not started is never returned by Next. Not safe for concurrent use.
+// Queue holds the waiting and running requests of one server. A request is either waiting or
+// running, or in neither state once it ended; a request that Withdraw reported as not started
+// is never returned by Dispatch. It is not safe for concurrent use.
 type Queue struct {
 	options Options
 	limit   *Limit
@@ -22,9 +21,9 @@
 	run     map[string]*running
 	perRank [rankCount]int // running requests by class
 
-	hopeless      []Request // given up since the last Expired
+	givenUp       []Request // given up since the last TakeRefusals
 	patientCredit float64
-	slotRate      float64 // smoothed cost finished per second and slot
+	slotRate      float64 // smoothed cost per second and slot
 }
 
 // NewQueue returns an empty queue.
@@ -41,8 +40,8 @@
 	return q
 }
 
-// Offer queues a request, or refuses it at once with a hint when to come back.
-// Call Next afterwards: the request may be able to run immediately.
+// Offer queues a request, or refuses it with a retry hint. Call Dispatch afterwards: the
+// request may be able to start immediately.
 func (q *Queue) Offer(now time.Time, request Request) *failure.Error {
 	if request.Weight < 1 {
 		request.Weight = 1
@@ -52,16 +51,16 @@
 	}
 	left := request.Deadline.Sub(now)
 	if left <= 0 {
-		return failure.NotRun(failure.StepQueue, "", failure.CodeDeadline, "the deadline had passed on arrival")
+		return failure.NotRun(failure.StepQueue, "", failure.CodeDeadline, "deadline already passed on arrival")
 	}
 	wait := q.EstimateWait(request)
-	if needed := wait + q.expect(request); needed > left {
+	if needed := wait + q.expectedDuration(request); needed > left {
 		return failure.NotRun(failure.StepQueue, "", failure.CodeOverloaded,
-			"the queue ahead is longer than the deadline allows").After(max(needed-left, minRetryAfter))
+			"expected wait exceeds the deadline").After(max(needed-left, minRetryAfter))
 	}
 	class := q.classes[rankOf(request.Class)]
 	if len(q.byID) >= q.options.MaxQueued && !q.evictFor(request) {
-		return failure.NotRun(failure.StepQueue, "", failure.CodeOverloaded, "the queue is full").After(max(wait, minRetryAfter))
+		return failure.NotRun(failure.StepQueue, "", failure.CodeOverloaded, "queue is full").After(max(wait, minRetryAfter))
 	}
 	item := &waiting{request: request, queued: now}
 	class.push(item)
@@ -69,34 +68,33 @@
 	return nil
 }
 
-// expectMargin allows for requests that cost more than their estimate.
-const expectMargin = 1.25
+// durationMargin allows for requests that cost more than estimated.
+const durationMargin = 1.25
 
-// expect is how long the request will probably run. It's 0 while nothing runs:
-// one request is always let through, so that a wrong expectation can't refuse
-// all that would correct it.
-func (q *Queue) expect(request Request) time.Duration {
+// expectedDuration returns the expected duration of the request. It is 0 while nothing runs:
+// one request is always permitted, since a wrong estimate could otherwise never be corrected.
+func (q *Queue) expectedDuration(request Request) time.Duration {
 	if len(q.run) == 0 {
 		return 0
 	}
-	return time.Duration(expectMargin * float64(q.limit.EstimateDuration(request.Cost)))
+	return time.Duration(durationMargin * float64(q.limit.EstimateDuration(request.Cost)))
 }
 
-// EstimateWait is how long the request would wait for its start, judged by the
-// cost queued ahead of it and the rate at which cost has been finished lately.
+// EstimateWait returns the expected queueing time of the request, from the cost queued ahead
+// of it and the recent throughput.
 func (q *Queue) EstimateWait(request Request) time.Duration {
 	own := rankOf(request.Class)
 	if q.slotRate <= 0 || (len(q.byID) == 0 && len(q.run) < q.slots(own)) {
 		return 0
 	}
-	ahead := q.classes[own].ahead(request)
+	ahead := q.classes[own].costAhead(request)
 	for r := rankUrgent; r < own; r++ {
 		ahead += q.classes[r].cost
 	}
 	return time.Duration(ahead / (q.slotRate * float64(q.slots(own))) * float64(time.Second))
 }
 
-// slots is how many requests of a class and those less urgent may run at once.
+// slots returns how many requests of a class and less urgent ones may run at once.
 func (q *Queue) slots(r rank) int {
 	limit := q.limit.Current()
 	if r == rankUrgent || limit < 2 {
@@ -105,50 +103,49 @@
 	return limit - max(1, limit/reserveDivisor)
 }
 
-// Next dispatches every request that may start now. The caller must start each
-// and end it with Done.
+// Dispatch starts all requests that may run now. The caller must run each of them, and end it
+// with Done.
 func (q *Queue) Dispatch(now time.Time) []Request {
-	var granted []Request
+	var dispatched []Request
 	for len(q.run) < q.limit.Current() {
-		item := q.pick(now)
+		item := q.selectNext(now)
 		if item == nil {
 			break
 		}
-		if now.Add(q.expect(item.request)).After(item.request.Deadline) {
+		if now.Add(q.expectedDuration(item.request)).After(item.request.Deadline) {
 			q.giveUp(item)
 			continue
 		}
 		q.dispatch(now, item)
-		granted = append(granted, item.request)
+		dispatched = append(dispatched, item.request)
 	}
-	return granted
+	return dispatched
 }
 
-// pick chooses the class: patient work when its guaranteed share is due, else
-// the most urgent class that waits and may use the free slot.
-func (q *Queue) pick(now time.Time) *waiting {
+// selectNext returns the next request: a patient one if the guaranteed share is due, else one
+// of the most urgent class that waits and has a slot.
+func (q *Queue) selectNext(now time.Time) *waiting {
 	patient := q.classes[rankPatient].peek(now)
 	urgentWaits := q.classes[rankUrgent].peek(now) != nil || q.classes[rankNormal].peek(now) != nil
 	if patient != nil && urgentWaits && q.patientCredit >= patient.request.Cost {
 		return patient
 	}
 	for r := rankUrgent; r < rankPatient; r++ {
-		if item := q.classes[r].peek(now); item != nil && q.mayRun(r) {
+		if item := q.classes[r].peek(now); item != nil && q.hasSlot(r) {
 			return item
 		}
 	}
-	if patient != nil && q.mayRun(rankPatient) {
+	if patient != nil && q.hasSlot(rankPatient) {
 		return patient
 	}
 	return nil
 }
 
-// reserveDivisor sets aside one slot in this many, at least one, that less
-// urgent classes leave free, so that urgent work starts without waiting for a
-// long patient request to end.
+// reserveDivisor is the fraction of slots, as a divisor, that less urgent classes leave free,
+// at least one. Urgent requests then start without waiting for a long patient one.
 const reserveDivisor = 4
 
-func (q *Queue) mayRun(r rank) bool {
+func (q *Queue) hasSlot(r rank) bool {
 	if r == rankUrgent {
 		return true
 	}
@@ -161,12 +158,13 @@
 	delete(q.byID, item.request.ID)
 	q.run[item.request.ID] = &running{request: item.request, started: now, flow: flow}
 	q.perRank[r]++
-	q.charge(r, item.request.Cost)
+	q.updatePatientCredit(r, item.request.Cost)
 }
 
-// charge keeps patient work's account: it earns its percentage of what other
-// classes use while it waits, and pays when it runs.
-func (q *Queue) charge(r rank, cost float64) {
+// updatePatientCredit adjusts the credit of patient requests, which grows by their percentage
+// of the cost dispatched in other classes while any of them waits, and shrinks by the cost
+// dispatched.
+func (q *Queue) updatePatientCredit(r rank, cost float64) {
 	if r == rankPatient {
 		q.patientCredit = max(0, q.patientCredit-cost)
 		return
@@ -179,8 +177,8 @@
 	q.patientCredit += cost * share / (1 - share)
 }
 
-// Done ends a running request: its customer is charged what it really cost, and
-// the concurrency limit learns from its latency.
+// Done ends a running request, charges its customer the actual cost, and updates the
+// concurrency limit.
 func (q *Queue) Done(now time.Time, id string, actualCost float64, ok bool) {
 	item := q.run[id]
 	if item == nil {
@@ -192,15 +190,15 @@
 	if actualCost <= 0 {
 		actualCost = item.request.Cost
 	}
-	q.classes[r].correct(item.flow, actualCost-item.request.Cost)
+	q.classes[r].adjustCost(item.flow, actualCost-item.request.Cost)
 	q.limit.Observe(now.Sub(item.started), actualCost, len(q.run)+1, len(q.byID) > 0, ok)
-	q.learnRate(now, item, actualCost)
+	q.updateRate(now, item, actualCost)
 }
 
-// rateWeight is the weight of one finished request in the smoothed rate.
+// rateWeight is the weight of one request in the smoothed rate.
 const rateWeight = 0.05
 
-func (q *Queue) learnRate(now time.Time, item *running, cost float64) {
+func (q *Queue) updateRate(now time.Time, item *running, cost float64) {
 	took := now.Sub(item.started).Seconds()
 	if took <= 0 {
 		return
@@ -213,8 +211,8 @@
 	q.slotRate += rateWeight * (rate - q.slotRate)
 }
 
-// Withdraw takes a waiting request out. True means that it had not started and
-// never will; false means that it isn't waiting here.
+// Withdraw removes a waiting request. It returns true if the request had not started and never
+// will, and false if it is not waiting.
 func (q *Queue) Withdraw(id string) bool {
 	item := q.byID[id]
 	if item == nil {
@@ -229,7 +227,7 @@
 	q.classes[rankOf(item.request.Class)].remove(item)
 }
 
-// NextDeadline returns the earliest deadline of a waiting request.
+// NextDeadline returns the earliest deadline of the waiting requests.
 func (q *Queue) NextDeadline() (time.Time, bool) {
 	var earliest time.Time
 	for _, class := range q.classes {
@@ -243,20 +241,20 @@
 	return earliest, !earliest.IsZero()
 }
 
-// Configure changes what the operators set. Requests that run already go on.
+// Configure sets the operators' options. Running requests are not affected.
 func (q *Queue) Configure(maxConcurrency, patientPercent int) {
 	q.limit.SetMax(maxConcurrency)
 	q.options.PatientPercent = patientPercent
 }
 
-// Queued is the number of waiting requests.
+// Queued returns the number of waiting requests.
 func (q *Queue) Queued() int { return len(q.byID) }
 
-// Running is the number of dispatched requests that have not ended.
+// Running returns the number of running requests.
 func (q *Queue) Running() int { return len(q.run) }
 
-// Limit is the present concurrency limit.
+// Limit returns the current concurrency limit.
 func (q *Queue) Limit() int { return q.limit.Current() }
 
-// ServiceTime is the smoothed time from start to end of a request.
+// ServiceTime returns the smoothed duration of a request.
 func (q *Queue) ServiceTime() time.Duration { return q.limit.Latency() }
--- a/internal/admission/queue_property_test.go
+++ b/internal/admission/queue_property_test.go
@@ -10,8 +10,7 @@
 	"pgregory.net/rapid"
 )
 
-// The seed is fixed, so that CI gives the same verdict every time; -rapid.seed=0
-// draws another one.
+// The fixed seed makes CI runs reproducible; -rapid.seed=0 draws a random one.
 func init() {
 	if err := flag.Set("rapid.seed", "1"); err != nil {
 		panic(err)
@@ -20,65 +19,65 @@
 
 var epoch = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-type fate int
+type requestState int
 
 const (
-	fateQueued fate = iota
-	fateRunning
-	fateEnded
-	fateNotRun
+	stateQueued requestState = iota
+	stateRunning
+	stateEnded
+	stateNotRun
 )
 
-// model follows every request offered to a queue.
+// model tracks the state of every request offered to a queue.
 type model struct {
-	queue *Queue
-	now   time.Time
-	fates map[string]fate
-	next  int
+	queue  *Queue
+	now    time.Time
+	states map[string]requestState
+	next   int
 }
 
-func (m *model) ids(want fate) []string {
+func (m *model) ids(want requestState) []string {
 	var ids []string
 	for i := range m.next {
 		id := fmt.Sprint(i)
-		if f, ok := m.fates[id]; ok && f == want {
+		if f, ok := m.states[id]; ok && f == want {
 			ids = append(ids, id)
 		}
 	}
 	return ids
 }
 
-func (m *model) settle(t *rapid.T) {
-	m.refuse(t)
+func (m *model) dispatchAndCheck(t *rapid.T) {
+	m.collectRefusals(t)
 	for _, request := range m.queue.Dispatch(m.now) {
-		m.move(t, request.ID, fateQueued, fateRunning)
+		m.transition(t, request.ID, stateQueued, stateRunning)
 		if !request.Deadline.After(m.now) {
 			t.Fatalf("%s started after its deadline", request.ID)
 		}
 	}
-	m.refuse(t)
-	if m.queue.Running() != len(m.ids(fateRunning)) || m.queue.Queued() != len(m.ids(fateQueued)) {
-		t.Fatalf("counts: queue says %d running, %d queued", m.queue.Running(), m.queue.Queued())
+	m.collectRefusals(t)
+	if m.queue.Running() != len(m.ids(stateRunning)) || m.queue.Queued() != len(m.ids(stateQueued)) {
+		t.Fatalf("queue reports %d running, %d queued", m.queue.Running(), m.queue.Queued())
 	}
 	if m.queue.Running() > 8 {
-		t.Fatalf("%d run over the largest limit", m.queue.Running())
+		t.Fatalf("%d requests run, above the maximum limit", m.queue.Running())
 	}
 }
 
-func (m *model) refuse(t *rapid.T) {
+func (m *model) collectRefusals(t *rapid.T) {
 	for _, refusal := range m.queue.TakeRefusals(m.now) {
-		m.move(t, refusal.Request.ID, fateQueued, fateNotRun)
+		m.transition(t, refusal.Request.ID, stateQueued, stateNotRun)
 		if refusal.Failure.Outcome != "not-run" || refusal.Failure.RetryAfter <= 0 {
-			t.Fatalf("a request given up on must be told so and when to come back: %+v", refusal.Failure)
+			t.Fatalf("refusal without outcome not-run or retry hint: %+v", refusal.Failure)
 		}
 	}
 }
 
-func (m *model) move(t *rapid.T, id string, from, to fate) {
-	if m.fates[id] != from {
-		t.Fatalf("%s went from %d to %d, was %d", id, from, to, m.fates[id])
+func (m *model) transition(t *rapid.T, id string, from, to requestState) {
+	if m.states[id] != from {
+		t.Fatalf("%s moves from state %d to %d, but is in %d", id, from, to, m.states[id])
 	}
-	m.fates[id] = to
+	m.states[id] = to
 }
 
 func (m *model) offer(t *rapid.T) {
@@ -92,11 +91,11 @@
 		Cost:     float64(rapid.IntRange(0, 50).Draw(t, "cost")),
 	})
 	if refused == nil {
-		m.fates[id] = fateQueued
+		m.states[id] = stateQueued
 	} else if refused.Outcome != "not-run" {
-		t.Fatalf("refused with %s", refused.Outcome)
+		t.Fatalf("refused with outcome %s", refused.Outcome)
 	}
-	m.settle(t)
+	m.dispatchAndCheck(t)
 }
 
 func (m *model) withdraw(t *rapid.T) {
@@ -105,56 +104,55 @@
 	}
 	id := fmt.Sprint(rapid.IntRange(0, m.next-1).Draw(t, "id"))
 	if m.queue.Withdraw(id) {
-		m.move(t, id, fateQueued, fateNotRun)
-	} else if f, ok := m.fates[id]; ok && f == fateQueued {
-		t.Fatalf("%s is queued and can't be withdrawn", id)
+		m.transition(t, id, stateQueued, stateNotRun)
+	} else if f, ok := m.states[id]; ok && f == stateQueued {
+		t.Fatalf("%s is queued, but was not withdrawn", id)
 	}
-	m.settle(t)
+	m.dispatchAndCheck(t)
 }
 
 func (m *model) done(t *rapid.T) {
-	running := m.ids(fateRunning)
+	running := m.ids(stateRunning)
 	if len(running) == 0 {
 		return
 	}
 	id := rapid.SampledFrom(running).Draw(t, "done")
 	m.queue.Done(m.now, id, float64(rapid.IntRange(0, 80).Draw(t, "actual")), rapid.IntRange(0, 9).Draw(t, "fails") > 0)
-	m.move(t, id, fateRunning, fateEnded)
-	m.settle(t)
+	m.transition(t, id, stateRunning, stateEnded)
+	m.dispatchAndCheck(t)
 }
 
-// TestEveryRequestHasOneFate: over random histories each offered request is
-// refused, withdrawn, given up or run, exactly one of them, and one that did
-// not start never starts later.
-func TestEveryRequestHasOneFate(t *testing.T) {
+// In random histories, each offered request must be refused, withdrawn, given up or run,
+// exactly one of them, and a request that was not started must never start later.
+func TestEveryRequestHasExactlyOneOutcome(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		m := &model{now: epoch, fates: map[string]fate{}, queue: NewQueue(Options{
+		m := &model{now: epoch, states: map[string]requestState{}, queue: NewQueue(Options{
 			Limit: LimitOptions{Min: 1, Max: 8}, MaxQueued: 12, PatientPercent: 10,
 		})}
 		t.Repeat(map[string]func(*rapid.T){
 			"offer": m.offer, "offer more": m.offer, "withdraw": m.withdraw, "done": m.done,
 			"wait": func(t *rapid.T) {
 				m.now = m.now.Add(time.Duration(rapid.IntRange(0, 500).Draw(t, "ms")) * time.Millisecond)
-				m.settle(t)
+				m.dispatchAndCheck(t)
 			},
 		})
 		m.drain(t)
 	})
 }
 
-// drain checks that nothing stays queued for ever once time goes on.
+// drain checks that every request ends eventually.
 func (m *model) drain(t *rapid.T) {
 	for range 1000 {
 		m.now = m.now.Add(100 * time.Millisecond)
-		m.settle(t)
-		for _, id := range m.ids(fateRunning) {
+		m.dispatchAndCheck(t)
+		for _, id := range m.ids(stateRunning) {
 			m.queue.Done(m.now, id, 1, true)
-			m.move(t, id, fateRunning, fateEnded)
+			m.transition(t, id, stateRunning, stateEnded)
 		}
-		m.settle(t)
-		if len(m.ids(fateQueued)) == 0 && len(m.ids(fateRunning)) == 0 {
+		m.dispatchAndCheck(t)
+		if len(m.ids(stateQueued)) == 0 && len(m.ids(stateRunning)) == 0 {
 			return
 		}
 	}
-	t.Fatalf("%d requests never ended", len(m.ids(fateQueued)))
+	t.Fatalf("%d requests never ended", len(m.ids(stateQueued)))
 }
--- a/internal/admission/queue_test.go
+++ b/internal/admission/queue_test.go
@@ -29,7 +29,7 @@
 	}
 }
 
-// serve runs n requests one after the other and returns what each customer got.
+// serve runs n requests sequentially and returns the cost served per customer.
 func serve(q *Queue, n int) map[string]float64 {
 	now := epoch
 	got := map[string]float64{}
@@ -54,7 +54,7 @@
 }
 
 var _ = Describe("fair sharing", func() {
-	It("gives equal shares however much one customer sends", func() {
+	It("gives customers equal shares regardless of their load", func() {
 		q := newTestQueue(1)
 		id := 0
 		for customer := range 10 {
@@ -70,7 +70,7 @@
 		Expect(jain(serve(q, 900))).To(BeNumerically(">", 0.99))
 	})
 
-	It("gives shares by weight", func() {
+	It("gives shares in proportion to weights", func() {
 		q := newTestQueue(1)
 		for id := range 2000 {
 			r := request(id, fmt.Sprint("c", id%2), config.ClassNormal, 10)
@@ -81,7 +81,7 @@
 		Expect(got["c1"] / got["c0"]).To(BeNumerically("~", 3, 0.05))
 	})
 
-	It("charges what requests really cost", func() {
+	It("charges the actual cost of requests", func() {
 		q := newTestQueue(1)
 		for id := range 2000 {
 			Expect(q.Offer(epoch, request(id, fmt.Sprint("c", id%2), config.ClassNormal, 10))).To(BeNil())
@@ -102,7 +102,7 @@
 		Expect(charged["c1"] / charged["c0"]).To(BeNumerically("~", 1, 0.05))
 	})
 
-	It("lets a full queue's longest customer make room", func() {
+	It("evicts from the customer with the longest queue when full", func() {
 		q := NewQueue(Options{Limit: LimitOptions{Min: 1, Max: 1}, MaxQueued: 4, PatientPercent: 10})
 		for id := range 5 {
 			Expect(q.Offer(epoch, request(id, "greedy", config.ClassNormal, 10))).To(BeNil())
@@ -117,8 +117,8 @@
 	})
 })
 
-var _ = Describe("classes", func() {
-	It("start urgent work before all else", func() {
+var _ = Describe("priority classes", func() {
+	It("start urgent requests first", func() {
 		q := newTestQueue(1)
 		for id := range 100 {
 			Expect(q.Offer(epoch, request(id, "a", config.ClassPatient, 10))).To(BeNil())
@@ -129,7 +129,7 @@
 		Expect(started[0].ID).To(Equal("1000"))
 	})
 
-	It("keep a slot free of patient work for urgent work", func() {
+	It("reserve a slot for urgent requests", func() {
 		q := newTestQueue(4)
 		for id := range 100 {
 			Expect(q.Offer(epoch, request(id, "a", config.ClassPatient, 10))).To(BeNil())
@@ -139,7 +139,7 @@
 		Expect(q.Dispatch(epoch)).To(HaveLen(1))
 	})
 
-	It("guarantee patient work its share", func() {
+	It("guarantee patient requests their share", func() {
 		q := newTestQueue(2)
 		for id := range 4000 {
 			class := config.ClassUrgent
@@ -155,7 +155,7 @@
 })
 
 var _ = Describe("deadlines", func() {
-	It("refuse at once what can't be met, and say when to come back", func() {
+	It("that cannot be met cause an immediate refusal with a retry hint", func() {
 		q := newTestQueue(1)
 		now := epoch
 		id := 0
@@ -181,7 +181,7 @@
 })
 
 var _ = Describe("the concurrency limit", func() {
-	It("shrinks when latency doubles and grows back, within its bounds", func() {
+	It("shrinks on increased latency and recovers, within its bounds", func() {
 		l := NewLimit(LimitOptions{Min: 2, Max: 32})
 		for range 400 {
 			l.Observe(10*time.Millisecond, 1, l.Current(), false, true)
@@ -199,7 +199,7 @@
 		Expect(l.Current()).To(Equal(32))
 	})
 
-	It("grows although a part of it is kept free for urgent work", func() {
+	It("grows while slots are reserved for urgent requests", func() {
 		q := NewQueue(Options{Limit: LimitOptions{Min: 1, Max: 64}, MaxQueued: 100000, PatientPercent: 10})
 		now := epoch
 		for id := range 4000 {
@@ -217,7 +217,7 @@
 		Expect(q.Limit()).To(Equal(64))
 	})
 
-	It("follows a changed bound, up and down", func() {
+	It("follows changes of its upper bound", func() {
 		l := NewLimit(LimitOptions{Min: 1, Max: 1})
 		for range 100 {
 			l.Observe(10*time.Millisecond, 1, l.Current(), true, true)
--- a/internal/admission/refusal.go
+++ b/internal/admission/refusal.go
@@ -6,12 +6,12 @@
 	"github.com/crowbridge/crowbridge/internal/failure"
 )
 
-// minRetryAfter is the least hint given when a queue is full.
+// minRetryAfter is the lower bound of retry hints.
 const minRetryAfter = 250 * time.Millisecond
 
-// evictFor tells whether room was made for the request by leaving the newest
-// request of the customer that waits with the most cost per weight in the same
-// or a less urgent class. The evicted one is returned by Expired.
+// evictFor evicts a request to make room, and reports whether it did: the newest request of
+// the customer with the largest waiting cost per weight in the same or a less urgent class.
+// TakeRefusals returns it.
 func (q *Queue) evictFor(request Request) bool {
 	for r := rankPatient; r >= rankOf(request.Class); r-- {
 		longest := q.classes[r].longest()
@@ -23,44 +23,43 @@
 		if sameClass && longest.backlog() <= own {
 			continue
 		}
-		victim := longest.newest()
-		if victim == nil {
+		evicted := longest.newest()
+		if evicted == nil {
 			continue
 		}
-		q.classes[r].evicted = append(q.classes[r].evicted, victim.request)
-		q.remove(victim)
+		q.classes[r].evicted = append(q.classes[r].evicted, evicted.request)
+		q.remove(evicted)
 		return true
 	}
 	return false
 }
 
-// giveUp takes out a request that would end after its deadline: the server's
-// time goes to those that can still be answered in time. Expired returns it.
+// giveUp removes a request that would finish after its deadline, which leaves the server's
+// time to requests that can still meet theirs. TakeRefusals returns it.
 func (q *Queue) giveUp(item *waiting) {
 	q.remove(item)
-	q.hopeless = append(q.hopeless, item.request)
+	q.givenUp = append(q.givenUp, item.request)
 }
 
-// Expired takes out and returns the requests that won't run any more, each with
-// its final answer: those whose deadline has passed, those that made room, and
-// those that Next gave up. Call it before and after Next.
+// TakeRefusals returns the queued requests that will not run, each with its failure: overdue,
+// evicted, and given up by Dispatch. Call it before and after Dispatch.
 func (q *Queue) TakeRefusals(now time.Time) []Refusal {
 	var refused []Refusal
-	for _, request := range q.hopeless {
+	for _, request := range q.givenUp {
 		refused = append(refused, Refusal{Request: request, Failure: failure.NotRun(failure.StepQueue, "",
-			failure.CodeDeadline, "it would end after its deadline").After(q.retryAfter(request))})
+			failure.CodeDeadline, "expected to finish after its deadline").After(q.retryAfter(request))})
 	}
-	q.hopeless = nil
+	q.givenUp = nil
 	for _, class := range q.classes {
 		for _, request := range class.evicted {
 			refused = append(refused, Refusal{Request: request, Failure: failure.NotRun(failure.StepQueue, "",
-				failure.CodeOverloaded, "gave way: its customer had the longest queue").After(q.retryAfter(request))})
+				failure.CodeOverloaded, "evicted: its customer had the longest queue").After(q.retryAfter(request))})
 		}
 		class.evicted = nil
-		for _, item := range class.overdue(now) {
+		for _, item := range class.popOverdue(now) {
 			q.remove(item)
 			refused = append(refused, Refusal{Request: item.request, Failure: failure.NotRun(failure.StepQueue, "",
-				failure.CodeDeadline, "the deadline passed in the queue").After(q.retryAfter(item.request))})
+				failure.CodeDeadline, "deadline passed in the queue").After(q.retryAfter(item.request))})
 		}
 	}
 	return refused
@@ -70,7 +69,7 @@
 	return max(q.EstimateWait(request), minRetryAfter)
 }
 
-// Refusal is the final answer to a request that had been queued.
+// Refusal is the failure of a request that was queued.
 type Refusal struct {
 	Request Request
 	Failure *failure.Error
--- a/internal/admission/request.go
+++ b/internal/admission/request.go
@@ -6,27 +6,27 @@
 	"github.com/crowbridge/crowbridge/internal/config"
 )
 
-// Request is one request that wants to run at the server.
+// Request is a request for a slot at the server.
 type Request struct {
 	ID       string
 	Customer string
-	// Weight is the customer's share relative to others in the same class.
+	// Weight is the customer's relative share within the class.
 	Weight int
 	Class  config.Class
-	// Deadline after which the answer is of no use.
+	// Deadline is the time after which a response is useless.
 	Deadline time.Time
-	// Cost is the estimate in tokens; Done corrects it.
+	// Cost is the estimated cost in tokens; Done corrects it.
 	Cost float64
 }
 
-// Options are the limits of a Queue.
+// Options configures a Queue.
 type Options struct {
-	// Limit governs how many requests run at once.
+	// Limit configures the concurrency limit.
 	Limit LimitOptions
-	// MaxQueued bounds the waiting requests of all customers together.
+	// MaxQueued bounds the number of waiting requests.
 	MaxQueued int
-	// PatientPercent is the share of dispatched cost kept for patient requests
-	// while any of them waits.
+	// PatientPercent is the share of dispatched cost guaranteed to patient requests while any
+	// of them waits.
 	PatientPercent int
 }
 
@@ -53,12 +53,12 @@
 	}
 }
 
-// waiting is a queued request; it is in its flow until dispatched or withdrawn.
+// waiting is a queued request. It stays in its flow until dispatched or withdrawn.
 type waiting struct {
 	request Request
 	queued  time.Time
 	flow    *flow
-	gone    bool
+	removed bool
 }
 
 // running is a dispatched request.
--- a/internal/outcome/keys.go
+++ b/internal/outcome/keys.go
@@ -9,38 +9,36 @@
 	"github.com/google/uuid"
 )
 
-// Key identifies a request across repeats. Two customers' equal keys are
-// different Keys, so that neither can read or disturb the other's.
+// Key is a customer's idempotency key. Keys of different customers never match.
 type Key struct {
 	Customer string
 	Value    string
 }
 
-// Answer is a recorded answer, given again to every repeat of its key.
+// Response is a recorded response, which is replayed for every retry with the key.
 type Response struct {
 	Status int
 	Header http.Header
 	Body   []byte
 }
 
-// Verdict is what may be done with a keyed request.
+// Decision is the result of Keys.Begin for a keyed request.
 type Decision int
 
-// The verdicts of Keys.Begin.
 const (
-	// VerdictRun permits the start; the caller must end it with Finish, Release or Lose.
+	// DecisionRun permits the start. The caller must end it with Finish, Release or MarkLost.
 	DecisionRun Decision = iota
-	// VerdictReplay gives the recorded answer.
+	// DecisionReplay returns the recorded response.
 	DecisionReplay
-	// VerdictWait says that an earlier request with the key is still running.
+	// DecisionWait means that an earlier request with the key is still running.
 	DecisionWait
-	// VerdictConflict says that the key was used for another body.
+	// DecisionConflict means that the key was used with another body.
 	DecisionConflict
-	// VerdictUnresolved says that an earlier start can't be ruled out.
+	// DecisionUnresolved means that an earlier start cannot be ruled out.
 	DecisionUnresolved
-	// VerdictFull says that no more keys can be kept; the request did not run.
+	// DecisionFull means that the table is full. The request did not run.
 	DecisionFull
-	// VerdictClosed says that the key was never seen and will never run here, so
+	// DecisionClosed means that the key was never seen and will never run at this agent, so
 	// that it may run at the next home.
 	DecisionClosed
 )
@@ -50,7 +48,7 @@
 const (
 	keyRunning keyState = iota
 	keyAnswered
-	keyLost // started, and its answer is not known
+	keyLost // started, response unknown
 	keyClosed
 )
 
@@ -58,103 +56,100 @@
 	key      Key
 	state    keyState
 	bodyHash string
-	answer   Response
+	response Response
 	ended    time.Time
 	done     chan struct{}
 }
 
-// KeysOptions are the limits and times of a Keys table.
+// KeysOptions configures a Keys table.
 type KeysOptions struct {
-	// Started is when this agent began, on its wall clock. Keys that may have been
-	// seen by an earlier incarnation are not run.
+	// Started is the start of this incarnation by the agent's wall clock. Keys that an earlier
+	// incarnation may have seen are not run.
 	Started time.Time
-	// Window is how long an ended key is kept.
+	// Window is how long a finished key is kept.
 	Window time.Duration
-	// Skew bounds how far the clocks of any two VMs differ, and how far a key's
-	// own time may be ahead of the entry that accepted it.
+	// Skew bounds the difference between the clocks of any two VMs, and how far a key's
+	// timestamp may be ahead of the clock of the entry that accepted it.
 	Skew time.Duration
-	// MaxKeys and MaxBytes bound memory.
+	// MaxKeys and MaxBytes bound the memory.
 	MaxKeys  int
 	MaxBytes int
 }
 
-// Keys is the table of idempotency keys at one agent. It decides whether a
-// keyed request may start.
+// Keys is an agent's table of idempotency keys. It decides whether a keyed request may start.
 //
-// Invariant: a key for which Begin returned VerdictRun, and that was not
-// released since, never gets VerdictRun again, from this table or, when the key
-// carries its time, from the table of a later incarnation. An untimed key is
-// covered while its entry is kept, and after a restart not run until Window has
-// passed.
+// Invariant: after Begin returned DecisionRun for a key, and unless Release was called for it,
+// neither this table nor, for timed keys, the table of a later incarnation returns DecisionRun
+// for it again. An untimed key is covered while its entry is kept; after a restart it is not
+// run until Window has passed.
 //
-// Not safe for concurrent use.
+// It is not safe for concurrent use.
 type Keys struct {
 	options KeysOptions
 	entries map[Key]*keyEntry
-	ended   *list.List // entries that ended, oldest first
+	ended   *list.List // finished entries, oldest first
 	bytes   int
 
-	floor     time.Time // keys made before may have been forgotten
-	homed     time.Time // when the homes of keys changed last
-	recorded  bool
-	sealed    bool
-	inherited *Handover
+	unresolvedBefore time.Time // keys with an earlier timestamp may have been dropped
+	homesChangedAt   time.Time // time of the last change of homes
+	recorded         bool
+	sealed           bool
+	previous         *Handover
 }
 
-// Inheritance is what the run before this one knew when it ended in a planned
-// stop, and that no other run was in between.
+// Handover is the knowledge of an incarnation that ended in a planned stop. It is valid only
+// if no other incarnation ran in between.
 type Handover struct {
-	// CoveredFrom is the time from which on it knew every key made since.
+	// CoveredFrom is the timestamp from which on all keys are known.
 	CoveredFrom time.Time
-	// Sealed is when it ended.
+	// SealedAt is when the incarnation ended.
 	SealedAt time.Time
-	// Untimed is set when it also knew every key without a time.
+	// CoversUntimed is set if all untimed keys are known as well.
 	CoversUntimed bool
 	// Seen are the hashes of the keys that may have run.
 	Seen map[uint64]bool
 }
 
-// UnrecordedDelay is how long a run that isn't on the log, because that can't be
-// reached, waits before it starts keyed requests. A run that is on the log may
-// take a handover younger than that for the last word: a run in between that the
-// log doesn't know of has started nothing yet.
+// UnrecordedDelay is how long an incarnation that could not record its start in the log waits
+// before it starts keyed requests. A recorded incarnation may therefore rely on a younger
+// handover: an unrecorded incarnation in between has started nothing yet.
 const UnrecordedDelay = 60 * time.Second
 
-// SetTimes changes the window and the clock skew. A longer window doesn't bring
-// back what the shorter one has let go, so keys from before stay unresolved.
+// SetWindow sets the window and the clock skew. Keys dropped under a shorter window remain
+// unresolved under a longer one.
 func (k *Keys) SetWindow(now time.Time, window, skew time.Duration) {
 	k.expire(now)
 	if window > k.options.Window {
-		k.floor = now.Add(-k.options.Window + skewFactor*max(skew, k.options.Skew))
+		k.unresolvedBefore = now.Add(-k.options.Window + skewFactor*max(skew, k.options.Skew))
 	}
 	k.options.Window, k.options.Skew = window, skew
 }
 
-// HomesChanged notes when the homes of the service's keys changed last, by the
-// log's clock: keys that are older may have run at another home.
-func (k *Keys) MarkHomesChanged(at time.Time) { k.homed = at }
+// MarkHomesChanged records the time, by the log's clock, of the last change of the service's
+// homes: older keys may have run at another home.
+func (k *Keys) MarkHomesChanged(at time.Time) { k.homesChangedAt = at }
 
-// Knows tells whether the table has an entry for a key.
+// Has reports whether the table has an entry for a key.
 func (k *Keys) Has(key Key) bool { return k.entries[key] != nil }
 
-// Recorded notes that this run is on the log, and what it inherits; nil when the
-// run before it didn't end in a planned stop.
-func (k *Keys) MarkRecorded(inherited *Handover) {
+// MarkRecorded notes that this incarnation is recorded in the log, with the handover of the
+// previous one; nil if that did not end in a planned stop.
+func (k *Keys) MarkRecorded(previous *Handover) {
 	k.recorded = true
-	if inherited == nil {
+	if previous == nil {
 		return
 	}
-	gap := k.options.Started.Sub(inherited.SealedAt)
+	gap := k.options.Started.Sub(previous.SealedAt)
 	if gap < UnrecordedDelay-skewFactor*k.options.Skew {
-		k.inherited = inherited
+		k.previous = previous
 	}
 }
 
 // Hash identifies a key in a handover.
 func (key Key) Hash() uint64 { return xxhash.Sum64String(key.Customer + "\x00" + key.Value) }
 
-// Seal ends the table: nothing is started any more. It returns what the next
-// run may inherit, or nil when this run isn't on the log or knows too many keys.
+// Seal closes the table: no further requests are started. It returns the handover for the next
+// incarnation, or nil if this one is not recorded or has too many keys.
 func (k *Keys) Seal(now time.Time) *Handover {
 	k.expire(now)
 	k.sealed = true
@@ -170,25 +165,25 @@
 	for key := range k.entries {
 		handover.Seen[key.Hash()] = true
 	}
-	if k.inherited != nil {
-		handover.CoveredFrom = k.inherited.CoveredFrom
-		handover.CoversUntimed = handover.CoversUntimed || k.inherited.CoversUntimed
-		k.inheritSeen(now, handover)
+	if k.previous != nil {
+		handover.CoveredFrom = k.previous.CoveredFrom
+		handover.CoversUntimed = handover.CoversUntimed || k.previous.CoversUntimed
+		k.mergePreviousKeys(now, handover)
 	}
 	return handover
 }
 
-// inheritSeen passes on what this run had inherited, while its window lasts.
-func (k *Keys) inheritSeen(now time.Time, handover *Handover) {
-	if now.Sub(k.inherited.SealedAt) >= k.options.Window {
+// mergePreviousKeys adds the keys of the previous handover while its window lasts.
+func (k *Keys) mergePreviousKeys(now time.Time, handover *Handover) {
+	if now.Sub(k.previous.SealedAt) >= k.options.Window {
 		return
 	}
-	for hash := range k.inherited.Seen {
+	for hash := range k.previous.Seen {
 		handover.Seen[hash] = true
 	}
 }
 
-// maxHandoverKeys bounds a handover's size on the log.
+// maxHandoverKeys bounds the size of a handover in the log.
 const maxHandoverKeys = 16384
 
 // NewKeys returns an empty table.
@@ -196,10 +191,10 @@
 	return &Keys{options: options, entries: map[Key]*keyEntry{}, ended: list.New()}
 }
 
-// KeyTime returns the time that a version 7 UUID carries.
+// KeyTime returns the timestamp of a version 7 UUID.
 func KeyTime(value string) (time.Time, bool) {
 	id, err := uuid.Parse(value)
-	if err != nil || id.Version() != uuidVersionTimed {
+	if err != nil || id.Version() != timedUUIDVersion {
 		return time.Time{}, false
 	}
 	const millisecondBytes = 6
@@ -210,15 +205,14 @@
 	return time.UnixMilli(ms), true
 }
 
-const uuidVersionTimed = 7
+const timedUUIDVersion = 7
 
-// Begin decides about a keyed request at time now. The channel is closed when
-// the request that VerdictWait speaks of has ended. With leaving set, a key never
-// seen before is closed instead of run.
+// Begin decides about a keyed request. The channel, returned with DecisionWait, is closed when
+// the running request has ended. If leaving is set, an unseen key is closed instead of run.
 func (k *Keys) Begin(now time.Time, key Key, bodyHash string, leaving bool) (Decision, Response, <-chan struct{}) {
 	k.expire(now)
 	if entry := k.entries[key]; entry != nil {
-		return k.repeat(entry, bodyHash)
+		return k.decideRepeat(entry, bodyHash)
 	}
 	if k.sealed || k.mayHaveRun(now, key) {
 		return DecisionUnresolved, Response{}, nil
@@ -229,19 +223,19 @@
 	entry := &keyEntry{key: key, bodyHash: bodyHash, done: make(chan struct{})}
 	k.entries[key] = entry
 	if leaving {
-		k.end(now, entry, keyClosed)
+		k.finish(now, entry, keyClosed)
 		return DecisionClosed, Response{}, nil
 	}
 	return DecisionRun, Response{}, nil
 }
 
-func (k *Keys) repeat(entry *keyEntry, bodyHash string) (Decision, Response, <-chan struct{}) {
+func (k *Keys) decideRepeat(entry *keyEntry, bodyHash string) (Decision, Response, <-chan struct{}) {
 	if entry.bodyHash != bodyHash {
 		return DecisionConflict, Response{}, nil
 	}
 	switch entry.state {
 	case keyAnswered:
-		return DecisionReplay, entry.answer, nil
+		return DecisionReplay, entry.response, nil
 	case keyRunning:
 		return DecisionWait, Response{}, entry.done
 	case keyClosed:
@@ -253,27 +247,27 @@
 	}
 }
 
-// mayHaveRun tells whether a key without an entry may have started before: at
-// an earlier incarnation, or here but long enough ago that its entry is gone.
+// mayHaveRun reports whether a key without an entry may have started before: in an earlier
+// incarnation, or in this one with its entry expired.
 //
-// An earlier incarnation accepted a key at its own time T <= Started (both wall
-// clocks, at most Skew apart), and the entry had refused keys more than Skew
-// ahead of itself. So every key it can have run carries a time of at most
-// Started + 2*Skew, plus one Skew for the clock of the VM that was replaced.
+// An earlier incarnation accepted a key at time T <= Started, by two wall clocks that differ
+// by at most Skew, and its entry refused keys more than Skew ahead of its own clock. So the
+// timestamp of a key that it ran is at most Started + 2*Skew, plus one Skew for the clock of a
+// replaced VM.
 func (k *Keys) mayHaveRun(now time.Time, key Key) bool {
 	if !k.recorded && now.Sub(k.options.Started) < UnrecordedDelay {
 		return true
 	}
 	at, timed := KeyTime(key.Value)
 	forgotten := now.Add(-k.options.Window + skewFactor*k.options.Skew)
-	if timed && (at.Before(forgotten) || at.Before(k.floor)) {
+	if timed && (at.Before(forgotten) || at.Before(k.unresolvedBefore)) {
 		return true
 	}
 	if k.mayHaveMoved(at, timed, now) {
 		return true
 	}
-	if k.inherited != nil {
-		return k.mayHaveRunBefore(at, timed, now, key)
+	if k.previous != nil {
+		return k.mayHaveRunInPrevious(at, timed, now, key)
 	}
 	if !timed {
 		return now.Before(k.options.Started.Add(k.options.Window))
@@ -281,56 +275,54 @@
 	return !at.After(k.options.Started.Add(skewFactor * k.options.Skew))
 }
 
-// mayHaveMoved tells whether a key that was never seen here may have lived at
-// another home before the last change.
+// mayHaveMoved reports whether an unseen key may have belonged to another home before the last
+// change.
 func (k *Keys) mayHaveMoved(at time.Time, timed bool, now time.Time) bool {
-	if k.homed.IsZero() {
+	if k.homesChangedAt.IsZero() {
 		return false
 	}
 	if !timed {
-		return now.Before(k.homed.Add(k.options.Window))
+		return now.Before(k.homesChangedAt.Add(k.options.Window))
 	}
-	return !at.After(k.homed.Add(skewFactor * k.options.Skew))
+	return !at.After(k.homesChangedAt.Add(skewFactor * k.options.Skew))
 }
 
-// mayHaveRunBefore goes by what the run before handed over.
-func (k *Keys) mayHaveRunBefore(at time.Time, timed bool, now time.Time, key Key) bool {
-	if k.inherited.Seen[key.Hash()] {
+// mayHaveRunInPrevious reports whether the key may have run, by the previous handover.
+func (k *Keys) mayHaveRunInPrevious(at time.Time, timed bool, now time.Time, key Key) bool {
+	if k.previous.Seen[key.Hash()] {
 		return true
 	}
 	if !timed {
-		return !k.inherited.CoversUntimed && now.Before(k.options.Started.Add(k.options.Window))
+		return !k.previous.CoversUntimed && now.Before(k.options.Started.Add(k.options.Window))
 	}
-	return at.Before(k.inherited.CoveredFrom)
+	return at.Before(k.previous.CoveredFrom)
 }
 
-// skewFactor counts the clocks between a key's time and an agent's: the
-// caller's against its entry, the entry's against the agent, and an earlier
-// incarnation's against the present one.
+// skewFactor is the number of clock differences between a key's timestamp and the agent's
+// clock: caller to entry, entry to agent, and earlier to current incarnation.
 const skewFactor = 3
 
-// Finish records the answer of a started key.
-func (k *Keys) Finish(now time.Time, key Key, answer Response) {
+// Finish records the response of a started key.
+func (k *Keys) Finish(now time.Time, key Key, response Response) {
 	entry := k.entries[key]
 	if entry == nil || entry.state != keyRunning {
 		return
 	}
-	entry.answer = answer
-	k.bytes += len(answer.Body)
-	k.end(now, entry, keyAnswered)
+	entry.response = response
+	k.bytes += len(response.Body)
+	k.finish(now, entry, keyAnswered)
 }
 
-// Lose records that a started key's answer is not known.
+// MarkLost records that the response of a started key is unknown.
 func (k *Keys) MarkLost(now time.Time, key Key) {
 	entry := k.entries[key]
 	if entry == nil || entry.state != keyRunning {
 		return
 	}
-	k.end(now, entry, keyLost)
+	k.finish(now, entry, keyLost)
 }
 
-// Release forgets a key whose request provably did not start, so that it may be
-// asked again.
+// Release removes a key whose request certainly did not start, so that it may be retried.
 func (k *Keys) Release(key Key) {
 	entry := k.entries[key]
 	if entry == nil || entry.state != keyRunning {
@@ -340,7 +332,7 @@
 	close(entry.done)
 }
 
-func (k *Keys) end(now time.Time, entry *keyEntry, state keyState) {
+func (k *Keys) finish(now time.Time, entry *keyEntry, state keyState) {
 	entry.state = state
 	entry.ended = now
 	k.ended.PushBack(entry)
@@ -355,9 +347,9 @@
 		}
 		k.ended.Remove(front)
 		delete(k.entries, entry.key)
-		k.bytes -= len(entry.answer.Body)
+		k.bytes -= len(entry.response.Body)
 	}
 }
 
-// Len returns the number of keys kept.
+// Len returns the number of keys.
 func (k *Keys) Len() int { return len(k.entries) }
--- a/internal/outcome/keys_property_test.go
+++ b/internal/outcome/keys_property_test.go
@@ -11,8 +11,7 @@
 	"pgregory.net/rapid"
 )
 
-// The seed is fixed, so that CI gives the same verdict every time; -rapid.seed=0
-// draws another one.
+// The fixed seed makes CI runs reproducible; -rapid.seed=0 draws a random one.
 func init() {
 	if err := flag.Set("rapid.seed", "1"); err != nil {
 		panic(err)
@@ -24,7 +23,7 @@
 	testSkew   = 2 * time.Second
 )
 
-// keyAt returns a version 7 UUID that carries a time.
+// keyAt returns a version 7 UUID with a timestamp.
 func keyAt(at time.Time, n uint64) string {
 	var id uuid.UUID
 	ms := at.UnixMilli()
@@ -38,146 +37,144 @@
 	return id.String()
 }
 
-// home is one agent over its incarnations, with a true time that no process
-// knows: each reads a clock that is off by at most half the skew, so that any
-// two differ by at most the skew.
-type home struct {
-	truth   time.Time
-	offset  time.Duration // the present agent clock's error
-	table   *Keys
-	started map[string]int // starts that happened, by key
-	running map[string]bool
-	keys    []string
-	log     agentLog
-	run     int
-	record  int // the log's last record when this run read it
-	known   bool
+// agentModel is one agent over its incarnations, with the true time. Each process reads a
+// clock that is off by at most half the skew, so that any two differ by at most the skew.
+type agentModel struct {
+	trueTime    time.Time
+	offset      time.Duration // the current clock's error
+	table       *Keys
+	started     map[string]int // starts by key
+	running     map[string]bool
+	keys        []string
+	log         agentLog
+	incarnation int
+	lastRecord  int // number of log records when this incarnation started
+	recorded    bool
 }
 
-// agentLog is what the log says of the agent's runs: one record each, with the
-// handover when the run ended in a planned stop.
+// agentLog holds the agent's record in the log: the last recorded incarnation, and its
+// handover after a planned stop.
 type agentLog struct {
-	records  int
-	run      int
-	handover *Handover
+	records     int
+	incarnation int
+	handover    *Handover
 }
 
-func (h *home) now() time.Time { return h.truth.Add(h.offset) }
+func (m *agentModel) now() time.Time { return m.trueTime.Add(m.offset) }
 
-func (h *home) drawOffset(t *rapid.T, label string) time.Duration {
+func (m *agentModel) drawOffset(t *rapid.T, label string) time.Duration {
 	half := int(testSkew.Milliseconds() / 2)
 	return time.Duration(rapid.IntRange(-half, half).Draw(t, label)) * time.Millisecond
 }
 
-// restart is a crash, or the end of a planned stop: a new run begins.
-func (h *home) restart(t *rapid.T) {
-	h.offset = h.drawOffset(t, "clock error")
-	h.running = map[string]bool{}
-	h.run++
-	h.known = false
-	h.record = h.log.records
-	h.table = NewKeys(KeysOptions{
-		Started: h.now(), Window: testWindow, Skew: testSkew, MaxKeys: 1000, MaxBytes: 1 << 20,
+// restart begins a new incarnation, after a crash or a planned stop.
+func (m *agentModel) restart(t *rapid.T) {
+	m.offset = m.drawOffset(t, "clock error")
+	m.running = map[string]bool{}
+	m.incarnation++
+	m.recorded = false
+	m.lastRecord = m.log.records
+	m.table = NewKeys(KeysOptions{
+		Started: m.now(), Window: testWindow, Skew: testSkew, MaxKeys: 1000, MaxBytes: 1 << 20,
 	})
 }
 
-// reachLog lets a run that isn't on the log record itself, now or much later.
-func (h *home) reachLog(*rapid.T) {
-	if h.known || h.record != h.log.records {
+// recordIncarnation records this incarnation in the log, at once or later.
+func (m *agentModel) recordIncarnation(*rapid.T) {
+	if m.recorded || m.lastRecord != m.log.records {
 		return
 	}
-	h.known = true
-	h.log.records++
-	h.table.MarkRecorded(h.log.handover)
-	h.log.run, h.log.handover = h.run, nil
+	m.recorded = true
+	m.log.records++
+	m.table.MarkRecorded(m.log.handover)
+	m.log.incarnation, m.log.handover = m.incarnation, nil
 }
 
-// plannedStop ends the run with a handover, if the log can be reached, and
-// begins another.
-func (h *home) plannedStop(t *rapid.T) {
-	for len(h.running) > 0 {
-		h.end(t)
+// plannedStop ends the incarnation with a handover, if the log is reachable, and begins
+// another.
+func (m *agentModel) plannedStop(t *rapid.T) {
+	for len(m.running) > 0 {
+		m.endOne(t)
 	}
-	handover := h.table.Seal(h.now())
-	if handover != nil && h.log.run == h.run && rapid.Bool().Draw(t, "log reached") {
-		h.log.records++
-		h.log.handover = handover
+	handover := m.table.Seal(m.now())
+	if handover != nil && m.log.incarnation == m.incarnation && rapid.Bool().Draw(t, "log reached") {
+		m.log.records++
+		m.log.handover = handover
 	}
-	h.wait(t)
-	h.restart(t)
+	m.advance(t)
+	m.restart(t)
 }
 
-func (h *home) wait(t *rapid.T) {
-	h.truth = h.truth.Add(time.Duration(rapid.IntRange(0, 30_000).Draw(t, "ms")) * time.Millisecond)
+func (m *agentModel) advance(t *rapid.T) {
+	m.trueTime = m.trueTime.Add(time.Duration(rapid.IntRange(0, 30_000).Draw(t, "ms")) * time.Millisecond)
 }
 
-// ask sends a new key or repeats an old one.
-func (h *home) ask(t *rapid.T) {
+// request sends a new key or retries an old one.
+func (m *agentModel) request(t *rapid.T) {
 	var key string
-	if len(h.keys) > 0 && rapid.Bool().Draw(t, "repeat") {
-		key = rapid.SampledFrom(h.keys).Draw(t, "key")
+	if len(m.keys) > 0 && rapid.Bool().Draw(t, "repeat") {
+		key = rapid.SampledFrom(m.keys).Draw(t, "key")
 	} else {
-		key = h.newKey(t)
+		key = m.newKey(t)
 	}
 	id := Key{Customer: "c", Value: key}
-	verdict, _, _ := h.table.Begin(h.now(), id, "hash", false)
+	verdict, _, _ := m.table.Begin(m.now(), id, "hash", false)
 	if verdict != DecisionRun {
 		return
 	}
-	h.started[key]++
-	if h.started[key] > 1 {
-		t.Fatalf("key %s started %d times", key, h.started[key])
+	m.started[key]++
+	if m.started[key] > 1 {
+		t.Fatalf("key %s started %d times", key, m.started[key])
 	}
-	h.running[key] = true
+	m.running[key] = true
 }
 
-// newKey makes a key on a caller's clock, which an entry accepted: no more than
-// the skew ahead of the entry's own clock.
-func (h *home) newKey(t *rapid.T) string {
-	entryClock := h.truth.Add(h.drawOffset(t, "entry clock error"))
+// newKey returns a key by a caller's clock, at most the skew ahead of the entry's clock.
+func (m *agentModel) newKey(t *rapid.T) string {
+	entryClock := m.trueTime.Add(m.drawOffset(t, "entry clock error"))
 	caller := entryClock.Add(time.Duration(rapid.IntRange(-200_000, int(testSkew.Milliseconds())).Draw(t, "caller clock")) * time.Millisecond)
-	key := keyAt(caller, uint64(len(h.keys)))
+	key := keyAt(caller, uint64(len(m.keys)))
 	if rapid.IntRange(0, 3).Draw(t, "kind") == 0 {
-		key = fmt.Sprintf("untimed-%d", len(h.keys))
+		key = fmt.Sprintf("untimed-%d", len(m.keys))
 	}
-	h.keys = append(h.keys, key)
+	m.keys = append(m.keys, key)
 	return key
 }
 
-func (h *home) end(t *rapid.T) {
-	for key := range h.running {
+func (m *agentModel) endOne(t *rapid.T) {
+	for key := range m.running {
 		id := Key{Customer: "c", Value: key}
 		switch rapid.IntRange(0, 2).Draw(t, "end") {
 		case 0:
-			h.table.Finish(h.now(), id, Response{Status: 200, Body: []byte(key)})
+			m.table.Finish(m.now(), id, Response{Status: 200, Body: []byte(key)})
 		case 1:
-			h.table.MarkLost(h.now(), id)
+			m.table.MarkLost(m.now(), id)
 		default:
-			h.table.Release(id)
-			h.started[key] = 0 // it provably did not start
+			m.table.Release(id)
+			m.started[key] = 0 // certainly not started
 		}
-		delete(h.running, key)
+		delete(m.running, key)
 		return
 	}
 }
 
-// TestKeyStartsAtMostOnce: over restarts that lose the table, wrong clocks,
-// repeats and pauses, a timed key starts at most once. An untimed key is
-// promised this for the window only, so the model forgets it afterwards.
+// A timed key must start at most once over restarts that lose the table, clock errors, retries
+// and pauses. For untimed keys this holds within the window only, so the model drops them
+// afterwards.
 func TestKeyStartsAtMostOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		h := &home{truth: time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC), started: map[string]int{}}
-		h.restart(t)
+		m := &agentModel{trueTime: time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC), started: map[string]int{}}
+		m.restart(t)
 		span := time.Duration(0)
 		t.Repeat(map[string]func(*rapid.T){
-			"ask": h.ask, "ask again": h.ask, "end": h.end, "restart": h.restart,
-			"reach log": h.reachLog, "planned stop": h.plannedStop,
+			"ask": m.request, "ask again": m.request, "end": m.endOne, "restart": m.restart,
+			"reach log": m.recordIncarnation, "planned stop": m.plannedStop,
 			"wait": func(t *rapid.T) {
-				before := h.truth
-				h.wait(t)
-				span += h.truth.Sub(before)
+				before := m.trueTime
+				m.advance(t)
+				span += m.trueTime.Sub(before)
 				if span > testWindow/2 {
-					h.forgetUntimed()
+					m.forgetUntimed()
 					span = 0
 				}
 			},
@@ -185,19 +182,18 @@
 	})
 }
 
-// forgetUntimed drops untimed keys from the model; the table is asked about
-// them no more.
-func (h *home) forgetUntimed() {
+// forgetUntimed drops untimed keys from the model.
+func (m *agentModel) forgetUntimed() {
 	var kept []string
-	for _, key := range h.keys {
+	for _, key := range m.keys {
 		if _, timed := KeyTime(key); timed {
 			kept = append(kept, key)
 		}
 	}
-	h.keys = kept
+	m.keys = kept
 }
 
-func TestRepeatGetsTheRecordedAnswer(t *testing.T) {
+func TestRepeatGetsRecordedResponse(t *testing.T) {
 	now := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 	k := NewKeys(KeysOptions{Started: now.Add(-time.Hour), Window: testWindow, Skew: testSkew, MaxKeys: 10, MaxBytes: 100})
 	k.MarkRecorded(nil)
@@ -213,7 +209,7 @@
 		t.Fatalf("other body: %v", v)
 	}
 	if v, _, _ := k.Begin(now, other, "h", false); v != DecisionRun {
-		t.Fatalf("another customer's equal key: %v", v)
+		t.Fatalf("same key of another customer: %v", v)
 	}
 	k.Finish(now, mine, Response{Status: 201, Body: []byte("done")})
 	if v, a, _ := k.Begin(now.Add(testWindow/2), mine, "h", false); v != DecisionReplay || string(a.Body) != "done" {
@@ -224,9 +220,9 @@
 	}
 }
 
-// TestPlannedStopIsExact: after a planned stop the next run starts keys that the
-// one before never saw, also those made just before it began, and no other.
-func TestPlannedStopIsExact(t *testing.T) {
+// After a planned stop, the next incarnation must start keys that the previous one never saw,
+// including those from just before its start, and no others.
+func TestPlannedStopHandsOverAllKeys(t *testing.T) {
 	now := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 	options := KeysOptions{Started: now, Window: testWindow, Skew: testSkew, MaxKeys: 10, MaxBytes: 100}
 	first := NewKeys(options)
@@ -240,7 +236,7 @@
 	handover := first.Seal(now)
 	between := Key{Customer: "c", Value: keyAt(now.Add(time.Second), 2)}
 	if v, _, _ := first.Begin(now, between, "h", false); v != DecisionUnresolved {
-		t.Fatalf("a sealed table: %v", v)
+		t.Fatalf("sealed table: %v", v)
 	}
 	options.Started = now.Add(2 * time.Second)
 	for _, test := range []struct {
@@ -253,7 +249,7 @@
 		{"never seen", handover, true, between, DecisionRun},
 		{"seen before", handover, true, seen, DecisionUnresolved},
 		{"no handover", nil, true, between, DecisionUnresolved},
-		{"not on the log", nil, false, between, DecisionUnresolved},
+		{"not recorded", nil, false, between, DecisionUnresolved},
 	} {
 		second := NewKeys(options)
 		if test.recorded {
@@ -265,32 +261,31 @@
 	}
 }
 
-// TestOldHandoverIsNotTheLastWord: when the log was away for long, a run that it
-// doesn't know of may have started keys since the handover.
-func TestOldHandoverIsNotTheLastWord(t *testing.T) {
+// If the log was unreachable for long, an unrecorded incarnation may have started keys since
+// the handover.
+func TestOldHandoverIsIgnored(t *testing.T) {
 	now := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 	options := KeysOptions{Started: now, Window: 10 * testWindow, Skew: testSkew, MaxKeys: 10, MaxBytes: 100}
 	first := NewKeys(options)
 	first.MarkRecorded(nil)
 	handover := first.Seal(now.Add(time.Minute))
 	options.Started = handover.SealedAt.Add(time.Second)
-	unknown := NewKeys(options) // never gets onto the log
+	unknown := NewKeys(options) // never recorded
 	now = options.Started.Add(UnrecordedDelay)
 	key := Key{Customer: "c", Value: keyAt(now, 1)}
 	if v, _, _ := unknown.Begin(now, key, "h", false); v != DecisionRun {
-		t.Fatalf("a run that waited long enough: %v", v)
+		t.Fatalf("after UnrecordedDelay: %v", v)
 	}
 	options.Started = now.Add(time.Second)
 	third := NewKeys(options)
 	third.MarkRecorded(handover)
 	if v, _, _ := third.Begin(options.Started, key, "h", false); v != DecisionUnresolved {
-		t.Fatalf("the key ran meanwhile: %v", v)
+		t.Fatalf("key already run by an unrecorded incarnation: %v", v)
 	}
 }
 
-// TestLongerWindowBringsNothingBack: a key that a short window has let go is not
-// run again when the window becomes longer.
-func TestLongerWindowBringsNothingBack(t *testing.T) {
+// A key dropped under a short window must not run again when the window becomes longer.
+func TestLongerWindowDoesNotRevivePrunedKeys(t *testing.T) {
 	now := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 	k := NewKeys(KeysOptions{Started: now.Add(-time.Hour), Window: testWindow, Skew: testSkew, MaxKeys: 10, MaxBytes: 100})
 	k.MarkRecorded(nil)
@@ -300,16 +295,15 @@
 	now = now.Add(2 * testWindow)
 	k.SetWindow(now, 10*testWindow, testSkew)
 	if v, _, _ := k.Begin(now, key, "h", false); v != DecisionUnresolved {
-		t.Fatalf("a key that was let go: %v", v)
+		t.Fatalf("dropped key: %v", v)
 	}
 	if v, _, _ := k.Begin(now, Key{Value: keyAt(now, 2)}, "h", false); v != DecisionRun {
-		t.Fatalf("a new key: %v", v)
+		t.Fatalf("new key: %v", v)
 	}
 }
 
-// TestMovedKeyIsNotRunAtItsNewHome: a key from before the homes changed may have
-// run at its old home.
-func TestMovedKeyIsNotRunAtItsNewHome(t *testing.T) {
+// A key older than the last change of homes may have run at its old home.
+func TestMovedKeyIsNotRunAtNewHome(t *testing.T) {
 	now := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 	k := NewKeys(KeysOptions{Started: now.Add(-time.Hour), Window: testWindow, Skew: testSkew, MaxKeys: 10, MaxBytes: 100})
 	k.MarkRecorded(nil)
@@ -336,11 +330,11 @@
 		t.Fatalf("leaving: %v", v)
 	}
 	if v, _, _ := k.Begin(now, key, "h", false); v != DecisionClosed {
-		t.Fatalf("a closed key must not run here: %v", v)
+		t.Fatalf("closed key: %v", v)
 	}
 }
 
-func TestFullTableRefusesInsteadOfForgetting(t *testing.T) {
+func TestFullTableRejectsNewKeys(t *testing.T) {
 	now := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 	k := NewKeys(KeysOptions{Started: now.Add(-time.Hour), Window: testWindow, Skew: testSkew, MaxKeys: 1, MaxBytes: 100})
 	k.Begin(now, Key{Value: keyAt(now, 1)}, "h", false)
--- a/internal/outcome/ledger.go
+++ b/internal/outcome/ledger.go
@@ -1,5 +1,4 @@
-// Package outcome keeps the books on requests: how each accepted request
-// ended, and which idempotency keys have been seen.
+// Package outcome counts the outcomes of accepted requests, and tracks idempotency keys.
 package outcome
 
 import (
@@ -8,8 +7,7 @@
 	"github.com/crowbridge/crowbridge/internal/failure"
 )
 
-// Counts is a ledger's content at one moment. Accepted always equals the sum
-// of the other four.
+// Counts is a snapshot of a ledger. Accepted equals the sum of the other four.
 type Counts struct {
 	Accepted int64
 	Answered int64
@@ -18,24 +16,24 @@
 	InFlight int64
 }
 
-// Balanced tells whether every accepted request is accounted for exactly once.
+// Balanced reports whether every accepted request has exactly one outcome or is in flight.
 func (c Counts) Balanced() bool {
 	return c.Accepted == c.Answered+c.NotRun+c.Unknown+c.InFlight
 }
 
-// Ledger counts how accepted requests ended. It is safe for concurrent use.
+// Ledger counts the outcomes of accepted requests. It is safe for concurrent use.
 type Ledger struct {
 	mu     sync.Mutex
 	counts Counts
 }
 
-// Ticket stands for one accepted request; it must be closed exactly once.
+// Ticket represents one accepted request. It must be closed exactly once.
 type Ticket struct {
 	ledger *Ledger
 	closed bool
 }
 
-// Accept opens a ticket.
+// Accept counts a request and returns its ticket.
 func (l *Ledger) Accept() *Ticket {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -44,7 +42,7 @@
 	return &Ticket{ledger: l}
 }
 
-// Close records the outcome. Further calls change nothing, and return false.
+// Close records the outcome and returns true. Further calls have no effect and return false.
 func (t *Ticket) Close(outcome failure.Outcome) bool {
 	t.ledger.mu.Lock()
 	defer t.ledger.mu.Unlock()
@@ -66,7 +64,7 @@
 	return true
 }
 
-// Counts returns the ledger's content.
+// Counts returns a snapshot.
 func (l *Ledger) Counts() Counts {
 	l.mu.Lock()
 	defer l.mu.Unlock()
