--- a/internal/loadfeed/loadfeed.go
+++ b/internal/loadfeed/loadfeed.go
@@ -1,5 +1,5 @@
-// Package loadfeed carries the load of model engines from the agents beside
-// them to the entries, as datagrams. A lost one is made good by the next.
+// Package loadfeed sends the load of backend servers from their agents to the entries over
+// UDP. Lost datagrams are made up for by later reports.
 package loadfeed
 
 import (
@@ -19,61 +19,62 @@
 )
 
 const (
-	// maxDatagram bounds a report, in bytes.
-	maxDatagram = 1024
-	// refresh is how often a report is sent although nothing has changed.
-	refresh = 400 * time.Millisecond
+	// maxDatagramSize is the size of the receive buffer, in bytes.
+	maxDatagramSize = 1024
+	// refreshInterval is the interval at which unchanged reports are sent.
+	refreshInterval = 400 * time.Millisecond
 )
 
-// Sender sends an agent's reports. Not safe for concurrent use.
+// Sender sends an agent's load reports. Not safe for concurrent use.
 type Sender struct {
-	conn    net.PacketConn
-	address string
-	port    uint16
-	last    experts.RankReport
-	sentAt  time.Time
-	endedAt time.Time
-	// id names this process, look counts what it tells.
-	id   uint64
-	look int64
+	conn         net.PacketConn
+	address      string
+	port         uint16
+	lastReport   experts.RankReport
+	reportSentAt time.Time
+	exitSentAt   time.Time
+	// senderID identifies this process; sequence numbers its reports.
+	senderID uint64
+	sequence int64
 }
 
-// NewSender returns a sender of the load of the backend server at an address,
-// to entries that listen on a port.
+// NewSender returns a sender of the load of the backend server at address, to entries that
+// listen on port.
 func NewSender(ip, address string, port uint16) (*Sender, error) {
 	conn, err := net.ListenPacket("udp4", net.JoinHostPort(ip, "0"))
-	return &Sender{conn: conn, address: address, port: port, id: rand.Uint64()}, errors.Wrap(err, "load feed")
+	return &Sender{conn: conn, address: address, port: port, senderID: rand.Uint64()}, errors.Wrap(err, "load feed")
 }
 
-// Close releases the socket.
+// Close closes the socket.
 func (s *Sender) Close() error { return s.conn.Close() }
 
-// Send tells the entries at some addresses if the load has changed or the last
-// report is old. It returns the first error; the others have been sent to.
+// Send sends a report to the entries if it has changed or the last one is older than the
+// refresh interval. It continues after an error and returns the first one.
 func (s *Sender) Send(now time.Time, report experts.RankReport, entries []netip.Addr) error {
-	if visible(report) == visible(s.last) && now.Sub(s.sentAt) < refresh {
+	if significant(report) == significant(s.lastReport) && now.Sub(s.reportSentAt) < refreshInterval {
 		return nil
 	}
-	s.last, s.sentAt, s.endedAt = report, now, time.Time{}
-	return s.sendTo(entries, &peerrpc.LoadReport{
+	s.lastReport, s.reportSentAt, s.exitSentAt = report, now, time.Time{}
+	return s.broadcast(entries, &peerrpc.LoadReport{
 		Running: int32(report.Running), Queued: int32(report.Queued),
 		Group: report.Group, Epoch: report.Epoch, Rank: int32(report.Rank), Size: int32(report.Size), Open: report.Open,
 		Pace: report.Slowdown, Born: report.StartID,
 	})
 }
 
-// SendExited tells the entries at some addresses that nobody listens where the server did.
+// SendExited reports to the entries that the server no longer listens at its address.
 func (s *Sender) SendExited(now time.Time, entries []netip.Addr) error {
-	if now.Sub(s.endedAt) < refresh {
+	if now.Sub(s.exitSentAt) < refreshInterval {
 		return nil
 	}
-	s.endedAt, s.last = now, experts.RankReport{} // the next report is news again
-	return s.sendTo(entries, &peerrpc.LoadReport{Ended: true})
+	s.exitSentAt, s.lastReport = now, experts.RankReport{} // forces the next report to be sent
+	return s.broadcast(entries, &peerrpc.LoadReport{Ended: true})
 }
 
-func (s *Sender) sendTo(entries []netip.Addr, report *peerrpc.LoadReport) error {
-	s.look++
-	report.Address, report.Sender, report.Look = s.address, s.id, s.look
+// broadcast sends a report to all entries and returns the first error.
+func (s *Sender) broadcast(entries []netip.Addr, report *peerrpc.LoadReport) error {
+	s.sequence++
+	report.Address, report.Sender, report.Look = s.address, s.senderID, s.sequence
 	data, err := proto.Marshal(report)
 	if err != nil {
 		return errors.Wrap(err, "load feed")
@@ -87,62 +88,63 @@
 	return first
 }
 
-// visible is the part of a report whose change is worth a datagram.
-func visible(r experts.RankReport) experts.RankReport {
+// significant returns the fields of a report whose change is sent immediately.
+func significant(r experts.RankReport) experts.RankReport {
 	return experts.RankReport{Epoch: r.Epoch, Open: r.Open, Running: r.Running, Queued: r.Queued, StartID: r.StartID}
 }
 
-// Balancer takes in what the agents tell.
+// Balancer receives the reported loads and group states.
 type Balancer interface {
 	UpdateLoad(id string, load dispatch.Load, at time.Time)
 	UpdateGroup(rank fleet.GroupRank, at time.Time)
 }
 
-// EngineMonitor takes in whether a server's engine answers the agent beside it.
+// EngineMonitor is notified of whether a server responds to its agent.
 type EngineMonitor interface {
-	SetEngineReachable(server string, answers bool)
+	SetEngineReachable(server string, reachable bool)
 }
 
-// Receiver takes in what agents tell.
+// Receiver receives load reports and forwards them to a Balancer and an EngineMonitor.
 type Receiver struct {
-	// servers returns what is registered at present, or nil.
-	servers func() *fleet.Servers
-	board   Balancer
-	engines EngineMonitor
-	now     func() time.Time
-	log     *logrus.Entry
-	// newest is the newest report of each address.
-	newest map[string]reportOrder
+	// servers returns the registered servers, or nil if they are unknown.
+	servers  func() *fleet.Servers
+	balancer Balancer
+	engines  EngineMonitor
+	now      func() time.Time
+	log      *logrus.Entry
+	// latest is the last report by address.
+	latest map[string]reportSequence
 }
 
-// reportOrder orders the reports of one agent's process. Those of two processes have no
-// order: clocks may have been stepped between them.
-type reportOrder struct {
-	sender uint64
-	look   int64
+// reportSequence orders the reports of one sender process. Reports of different processes have
+// no order, since clocks may be stepped.
+type reportSequence struct {
+	senderID uint64
+	sequence int64
 }
 
-// NewReceiver returns a receiver that knows no reports yet.
-func NewReceiver(servers func() *fleet.Servers, board Balancer, engines EngineMonitor, now func() time.Time, log *logrus.Entry) *Receiver {
-	return &Receiver{servers: servers, board: board, engines: engines, now: now, log: log, newest: map[string]reportOrder{}}
+// NewReceiver returns a receiver.
+func NewReceiver(servers func() *fleet.Servers, balancer Balancer, engines EngineMonitor, now func() time.Time, log *logrus.Entry) *Receiver {
+	return &Receiver{servers: servers, balancer: balancer, engines: engines, now: now, log: log, latest: map[string]reportSequence{}}
 }
 
-// late tells whether a newer report of the same agent's process has been taken in.
-func (r *Receiver) late(report *peerrpc.LoadReport) bool {
-	known := r.newest[report.GetAddress()]
-	if known.sender == report.GetSender() && report.GetLook() <= known.look {
-		return report.GetLook() != 0 // agents of earlier releases don't count
+// isStale reports whether a newer report of the same sender process has been received, and
+// records the report otherwise.
+func (r *Receiver) isStale(report *peerrpc.LoadReport) bool {
+	latest := r.latest[report.GetAddress()]
+	if latest.senderID == report.GetSender() && report.GetLook() <= latest.sequence {
+		return report.GetLook() != 0 // earlier releases send no sequence
 	}
-	r.newest[report.GetAddress()] = reportOrder{sender: report.GetSender(), look: report.GetLook()}
+	r.latest[report.GetAddress()] = reportSequence{senderID: report.GetSender(), sequence: report.GetLook()}
 	return false
 }
 
-// Serve reads reports until the context ends.
+// Serve receives reports until the context ends. It closes conn.
 func (r *Receiver) Serve(ctx context.Context, conn net.PacketConn) error {
-	stop := context.AfterFunc(ctx, func() { _ = conn.Close() }) // ends the read
+	stop := context.AfterFunc(ctx, func() { _ = conn.Close() }) // unblocks ReadFrom
 	defer stop()
-	defer func() { _ = conn.Close() }() // a read that brought something as the context ended stops the other
-	buffer := make([]byte, maxDatagram)
+	defer func() { _ = conn.Close() }() // stop may have prevented the other Close
+	buffer := make([]byte, maxDatagramSize)
 	for {
 		n, _, err := conn.ReadFrom(buffer)
 		if ctx.Err() != nil {
@@ -153,17 +155,16 @@
 		}
 		var report peerrpc.LoadReport
 		if err := proto.Unmarshal(buffer[:n], &report); err != nil {
-			r.log.WithError(err).Debug("load report not understood")
+			r.log.WithError(err).Debug("invalid load report")
 			continue
 		}
-		r.take(&report)
+		r.handle(&report)
 	}
 }
 
-// take takes in a report of a registered server. What it says of a group counts
-// only if the server is registered as a rank of it: a report of any other would
-// speak for the group's real ranks.
-func (r *Receiver) take(report *peerrpc.LoadReport) {
+// handle applies the report of a registered server. The state of a group is accepted only from
+// servers that are registered as its ranks.
+func (r *Receiver) handle(report *peerrpc.LoadReport) {
 	servers := r.servers()
 	if servers == nil {
 		return
@@ -172,24 +173,24 @@
 	if server == nil {
 		return
 	}
-	if r.late(report) {
+	if r.isStale(report) {
 		return
 	}
-	// Another start than the registered one is the next: the agent sees it before the
-	// registry tells. Nothing that it says of itself is the former start's.
-	again := report.GetBorn() != 0 && server.StartID != 0 && report.GetBorn() != server.StartID
-	r.engines.SetEngineReachable(server.Key(), !report.GetEnded() && !again)
+	// The agent may see a restarted server before the registry does. Its load doesn't belong to
+	// the registered incarnation.
+	restarted := report.GetBorn() != 0 && server.StartID != 0 && report.GetBorn() != server.StartID
+	r.engines.SetEngineReachable(server.Key(), !report.GetEnded() && !restarted)
 	if report.GetEnded() {
 		return
 	}
 	now := r.now()
-	if !again {
-		r.board.UpdateLoad(server.Key(), dispatch.Load{
+	if !restarted {
+		r.balancer.UpdateLoad(server.Key(), dispatch.Load{
 			Running: max(int(report.GetRunning()), 0), Waiting: max(int(report.GetQueued()), 0), Slowdown: report.GetPace(),
 		}, now)
 	}
 	if server.Rank != nil && report.GetGroup() == server.Rank.Group {
-		r.board.UpdateGroup(fleet.GroupRank{
+		r.balancer.UpdateGroup(fleet.GroupRank{
 			Group: report.GetGroup(), Epoch: report.GetEpoch(), Rank: int(report.GetRank()), Size: int(report.GetSize()), Open: report.GetOpen(),
 		}, now)
 	}
