--- a/internal/upstream/probe.go
+++ b/internal/upstream/probe.go
@@ -10,7 +10,7 @@
 	"github.com/pkg/errors"
 )
 
-// Prober looks whether servers listen at their addresses. It implements crash.Prober.
+// Prober checks whether servers listen at their addresses. It implements crash.Prober.
 type Prober struct{}
 
 // Probe implements crash.Prober.
@@ -18,12 +18,12 @@
 	return ProbeAddress(ctx, server.Address)
 }
 
-// ProbeAddress looks whether somebody listens at an address, with one connection that is
-// closed at once.
+// ProbeAddress checks whether a process listens at an address by opening and closing a
+// connection.
 func ProbeAddress(ctx context.Context, address string) crash.Liveness {
 	conn, err := (&net.Dialer{}).DialContext(ctx, "tcp4", address)
 	if err == nil {
-		_ = conn.Close() // nothing was sent
+		_ = conn.Close()
 		return crash.Listening
 	}
 	if errors.Is(err, syscall.ECONNREFUSED) {
--- a/internal/upstream/sendcheck.go
+++ b/internal/upstream/sendcheck.go
@@ -8,32 +8,33 @@
 	"sync"
 )
 
-// permittedConn asks for a permit before the first bytes of each request on it.
-type permittedConn struct {
+// checkedConn runs a send check before the first bytes of each request.
+type checkedConn struct {
 	net.Conn
 
-	mu sync.Mutex // a leaf
-	// permit is that of the request that gets the connection next; nil once it was asked.
-	permit func() error
+	mu sync.Mutex
+	// check belongs to the next request on the connection; nil once it has run.
+	check func() error
 }
 
-// Write implements net.Conn. A refused write sends nothing, and the connection ends.
-func (c *permittedConn) Write(data []byte) (int, error) {
+// Write implements net.Conn. If the check fails, nothing is sent and the transport closes the
+// connection.
+func (c *checkedConn) Write(data []byte) (int, error) {
 	c.mu.Lock()
-	permit := c.permit
-	c.permit = nil
+	check := c.check
+	c.check = nil
 	c.mu.Unlock()
-	if permit != nil {
-		if err := permit(); err != nil {
+	if check != nil {
+		if err := check(); err != nil {
 			return 0, err
 		}
 	}
 	return c.Conn.Write(data)
 }
 
-// EnableSendChecks makes requests through a transport ask for the permits that WithPermit gives
-// them. A check before the transport gets a request would be too early: making a connection
-// takes up to its timeout, and what the server says meanwhile binds too.
+// EnableSendChecks makes a transport run the checks set by WithSendCheck. A check before
+// RoundTrip would be too early: the server may become ineligible while a connection is
+// established.
 func EnableSendChecks(t *http.Transport) {
 	dial := t.DialContext
 	t.DialContext = func(ctx context.Context, network, address string) (net.Conn, error) {
@@ -41,45 +42,46 @@
 		if err != nil {
 			return nil, err
 		}
-		return &permittedConn{Conn: conn}, nil
+		return &checkedConn{Conn: conn}, nil
 	}
 }
 
-// SendCheck is the permit of one request.
+// SendCheck is the send check of one request.
 type SendCheck struct {
-	ask func() error
+	run func() error
 
-	mu      sync.Mutex // a leaf
-	refused error
+	mu  sync.Mutex
+	err error
 }
 
-// WithSendCheck makes a request with the context, through a transport with AskPermits, ask just
-// before its first bytes whether it may be sent. ask may be nil.
-func WithSendCheck(ctx context.Context, ask func() error) (context.Context, *SendCheck) {
-	p := &SendCheck{ask: ask}
-	if ask == nil {
-		return ctx, p
+// WithSendCheck returns a context for one request through a transport with EnableSendChecks.
+// run is called just before the first bytes are sent; if it returns an error, nothing is sent.
+// run may be nil.
+func WithSendCheck(ctx context.Context, run func() error) (context.Context, *SendCheck) {
+	c := &SendCheck{run: run}
+	if run == nil {
+		return ctx, c
 	}
 	return httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{GotConn: func(info httptrace.GotConnInfo) {
-		if conn, ok := info.Conn.(*permittedConn); ok {
+		if conn, ok := info.Conn.(*checkedConn); ok {
 			conn.mu.Lock()
 			defer conn.mu.Unlock()
-			conn.permit = p.check
+			conn.check = c.check
 		}
-	}}), p
+	}}), c
 }
 
-func (p *SendCheck) check() error {
-	err := p.ask()
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.refused = err
+func (c *SendCheck) check() error {
+	err := c.run()
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.err = err
 	return err
 }
 
-// Err returns why the request wasn't sent, or nil when it had its permit.
-func (p *SendCheck) Err() error {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return p.refused
+// Err returns the error of the check, or nil if the check passed or didn't run.
+func (c *SendCheck) Err() error {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.err
 }
--- a/internal/upstream/sendcheck_test.go
+++ b/internal/upstream/sendcheck_test.go
@@ -16,7 +16,7 @@
 	"github.com/pkg/errors"
 )
 
-var _ = Describe("a request's permit", func() {
+var _ = Describe("a send check", func() {
 	var requests atomic.Int64
 	var address string
 	var b *Backend
@@ -37,45 +37,45 @@
 		b = New(plainDialect{})
 	})
 
-	sendWith := func(body string, permit func() error) *dispatch.SendError {
-		answer, sendErr := b.Send(context.Background(), &dispatch.Request{
+	sendWith := func(body string, check func() error) *dispatch.SendError {
+		response, sendErr := b.Send(context.Background(), &dispatch.Request{
 			Method: http.MethodPost, Host: "h.example", URI: "/", Header: http.Header{}, Body: []byte(body),
-		}, dispatch.Attempt{Server: &fleet.Server{ID: "i-1", Address: address}, SendCheck: permit})
+		}, dispatch.Attempt{Server: &fleet.Server{ID: "i-1", Address: address}, SendCheck: check})
 		if sendErr == nil {
-			_, _ = io.Copy(io.Discard, answer.Body)
-			_ = answer.Body.Close()
+			_, _ = io.Copy(io.Discard, response.Body)
+			_ = response.Body.Close()
 		}
 		return sendErr
 	}
-	granted := func() error { return nil }
-	refused := func() error {
+	pass := func() error { return nil }
+	fail := func() error {
 		return &eligibility.ExcludedError{Exclusion: &eligibility.Exclusion{Reason: eligibility.Leaving}}
 	}
 
-	It("is asked once a connection is there, on a new and on a kept one", func() {
-		asked := 0
-		ask := func() error { asked++; return nil }
-		Expect(sendWith("x", ask)).To(BeNil())
-		Expect(sendWith("x", ask)).To(BeNil())
-		Expect(asked).To(Equal(2))
+	It("runs once per request, on new and reused connections", func() {
+		checks := 0
+		check := func() error { checks++; return nil }
+		Expect(sendWith("x", check)).To(BeNil())
+		Expect(sendWith("x", check)).To(BeNil())
+		Expect(checks).To(Equal(2))
 	})
 
-	DescribeTable("that is refused lets nothing out, and the request wasn't sent", func(body string, kept bool) {
-		if kept {
-			Expect(sendWith("x", granted)).To(BeNil())
+	DescribeTable("that fails prevents the request from being sent", func(body string, reused bool) {
+		if reused {
+			Expect(sendWith("x", pass)).To(BeNil())
 			requests.Store(0)
 		}
-		sendErr := sendWith(body, refused)
+		sendErr := sendWith(body, fail)
 		Expect(sendErr).NotTo(BeNil())
 		Expect(sendErr.Sent).To(BeFalse())
-		var bar *eligibility.ExcludedError
-		Expect(errors.As(sendErr, &bar)).To(BeTrue())
-		Expect(sendWith("x", granted)).To(BeNil(), "the next request isn't held to it")
+		var excluded *eligibility.ExcludedError
+		Expect(errors.As(sendErr, &excluded)).To(BeTrue())
+		Expect(sendWith("x", pass)).To(BeNil(), "the next request isn't affected")
 		Expect(requests.Load()).To(Equal(int64(1)))
 	},
 		Entry("on a new connection", "body", false),
-		Entry("on a kept connection", "body", true),
+		Entry("on a reused connection", "body", true),
 		Entry("without a body", "", true),
-		Entry("with a body larger than any buffer", string(make([]byte, 1<<20)), true),
+		Entry("with a body larger than the buffers", string(make([]byte, 1<<20)), true),
 	)
 })
--- a/internal/upstream/upstream.go
+++ b/internal/upstream/upstream.go
@@ -1,4 +1,4 @@
-// Package upstream carries requests to backend servers over HTTP.
+// Package upstream sends requests to backend servers over HTTP.
 package upstream
 
 import (
@@ -22,81 +22,81 @@
 )
 
 const (
-	// dialTimeout ends before a lost opening packet is sent again, about a second
-	// later: another server is the better choice then.
+	// dialTimeout is shorter than the retransmission timeout of a lost SYN, about one second:
+	// trying another server is faster.
 	dialTimeout = 400 * time.Millisecond
-	// idleTimeout is below one second, the shortest keep-alive time that a header can
-	// announce, so that a request rarely crosses the server's close.
+	// idleTimeout is below one second, the shortest keep-alive timeout that a header can
+	// announce, so that a request rarely races with the server's close.
 	idleTimeout = 900 * time.Millisecond
-	// unackedTimeout ends connections to a peer that doesn't acknowledge bytes. An idle
-	// one ends at the probe that follows it, two seconds after the last bytes: open
-	// connections may fall silent for good while new ones work, and a configuration
-	// that such a read of the store misses has to be in force within three seconds.
+	// unackedTimeout closes connections on which sent bytes stay unacknowledged. Idle
+	// connections close at the keep-alive probe that follows, two seconds after the last bytes.
+	// Established connections may be dropped silently while new ones work, and a configuration
+	// change must be applied within three seconds.
 	unackedTimeout = 1900 * time.Millisecond
-	// probeTime is after how long without bytes a connection is probed, and the time
-	// between probes: the shortest that the system offers.
-	probeTime = time.Second
-	// idlePerServer bounds the connections kept open to one server.
-	idlePerServer = 16
-	// maxAnswerHeader bounds a server's header, in bytes.
-	maxAnswerHeader = 64 << 10
+	// keepAliveInterval is the idle time before keep-alive probes and between them, the minimum
+	// that the system supports.
+	keepAliveInterval = time.Second
+	// maxIdleConnsPerServer bounds the idle connections to one server.
+	maxIdleConnsPerServer = 16
+	// maxResponseHeaderBytes bounds the header of a response.
+	maxResponseHeaderBytes = 64 << 10
 )
 
-// Dialect names the headers on the way to and from servers.
+// Dialect converts between requests and responses and their headers on the wire.
 type Dialect interface {
 	RequestHeader(r *dispatch.Request, a dispatch.Attempt) http.Header
 	ReadResponse(status int, h http.Header) dispatch.ResponseInfo
 }
 
-// Backend sends attempts to servers. It keeps connections by a server's start, so that
-// none is used for another server at the same address, or its next start. Safe for concurrent use.
+// Backend sends attempts to servers. Connections are pooled by server incarnation, so that
+// none is reused for another server at the same address. Safe for concurrent use.
 type Backend struct {
 	dialect Dialect
 
-	mu    sync.Mutex // a leaf
+	mu    sync.Mutex
 	pools map[string]*pool
 }
 
-// pool has the connections to one start of a server.
+// pool holds the connections to one incarnation of a server.
 type pool struct {
 	*http.Transport
-	// open counts them, most is how many there may be; 0 for any number.
-	open, most atomic.Int64
+	// open counts the connections; limit is their maximum, or 0 if unbounded.
+	open, limit atomic.Int64
 }
 
-// New returns a backend that speaks a dialect.
+// New returns a backend that uses the given dialect.
 func New(dialect Dialect) *Backend {
 	return &Backend{dialect: dialect, pools: map[string]*pool{}}
 }
 
-// NewTransport returns a transport for calls whose peers may fall silent: it
-// ends connections on which bytes stay unacknowledged or keep-alive probes fail.
+// NewTransport returns a transport that closes connections to unresponsive peers, by TCP user
+// timeout and keep-alive probes.
 func NewTransport() *http.Transport {
 	dialer := &net.Dialer{
 		Timeout: dialTimeout,
 		KeepAliveConfig: net.KeepAliveConfig{
-			Enable: true, Idle: probeTime, Interval: probeTime, Count: 1,
+			Enable: true, Idle: keepAliveInterval, Interval: keepAliveInterval, Count: 1,
 		},
 		Control: func(_, _ string, raw syscall.RawConn) error {
-			var set error
+			var optErr error
 			if err := raw.Control(func(fd uintptr) {
-				set = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(unackedTimeout.Milliseconds()))
+				optErr = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(unackedTimeout.Milliseconds()))
 			}); err != nil {
 				return err
 			}
-			return set
+			return optErr
 		},
 	}
 	return &http.Transport{
 		DialContext:            dialer.DialContext,
 		DisableCompression:     true,
-		MaxIdleConnsPerHost:    idlePerServer,
+		MaxIdleConnsPerHost:    maxIdleConnsPerServer,
 		IdleConnTimeout:        idleTimeout,
-		MaxResponseHeaderBytes: maxAnswerHeader,
+		MaxResponseHeaderBytes: maxResponseHeaderBytes,
 	}
 }
 
-// Prune drops the connections to servers that are no longer registered.
+// Prune closes the idle connections to servers that are no longer registered.
 func (b *Backend) Prune(servers *fleet.Servers) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -114,19 +114,19 @@
 	p := b.pools[key]
 	if p == nil {
 		p = &pool{Transport: NewTransport()}
-		p.bound()
+		p.limitConnections()
 		EnableSendChecks(p.Transport)
 		b.pools[key] = p
 	}
 	return p
 }
 
-// bound makes the pool open no more connections than it may have. The request is another
-// server's then, nothing of it was sent.
-func (p *pool) bound() {
+// limitConnections makes dialing fail with an ExcludedError beyond the connection limit.
+// Nothing of the request has been sent then.
+func (p *pool) limitConnections() {
 	dial := p.DialContext
 	p.DialContext = func(ctx context.Context, network, address string) (net.Conn, error) {
-		if most := p.most.Load(); p.open.Add(1) > most && most > 0 {
+		if limit := p.limit.Load(); p.open.Add(1) > limit && limit > 0 {
 			p.open.Add(-1)
 			return nil, &eligibility.ExcludedError{Exclusion: &eligibility.Exclusion{Reason: eligibility.Full}}
 		}
@@ -139,7 +139,7 @@
 	}
 }
 
-// countedConn is one of a pool's connections.
+// countedConn decrements the pool's counter when closed.
 type countedConn struct {
 	net.Conn
 	open   *atomic.Int64
@@ -154,17 +154,17 @@
 	return c.Conn.Close()
 }
 
-// unrepeatableBody keeps the HTTP library from sending a request again by
-// itself when a kept connection turns out to be dead.
-type unrepeatableBody struct{ io.Reader }
+// nonReplayableBody prevents the HTTP transport from resending a request by itself when a
+// pooled connection turns out to be dead.
+type nonReplayableBody struct{ io.Reader }
 
-func (unrepeatableBody) Close() error { return nil }
+func (nonReplayableBody) Close() error { return nil }
 
 // Send implements dispatch.Backend.
 func (b *Backend) Send(ctx context.Context, r *dispatch.Request, a dispatch.Attempt) (*dispatch.Response, *dispatch.SendError) {
 	var connected atomic.Bool
 	trace := &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { connected.Store(true) }}
-	ctx, permission := WithSendCheck(httptrace.WithClientTrace(ctx, trace), a.SendCheck)
+	ctx, check := WithSendCheck(httptrace.WithClientTrace(ctx, trace), a.SendCheck)
 	request := (&http.Request{
 		Method: r.Method,
 		URL:    &url.URL{Scheme: "http", Host: a.Server.Address, Opaque: r.URI},
@@ -172,13 +172,13 @@
 		Header: b.dialect.RequestHeader(r, a),
 		Proto:  "HTTP/1.1", ProtoMajor: 1, ProtoMinor: 1,
 		ContentLength: int64(len(r.Body)),
-		Body:          unrepeatableBody{bytes.NewReader(r.Body)},
+		Body:          nonReplayableBody{bytes.NewReader(r.Body)},
 	}).WithContext(ctx)
-	to := b.pool(a.Server.Key())
-	to.most.Store(int64(a.MaxConnections))
-	response, err := to.RoundTrip(request)
-	if refused := permission.Err(); err != nil && refused != nil {
-		return nil, &dispatch.SendError{Err: errors.Wrap(refused, a.Server.Address)}
+	p := b.pool(a.Server.Key())
+	p.limit.Store(int64(a.MaxConnections))
+	response, err := p.RoundTrip(request)
+	if checkErr := check.Err(); err != nil && checkErr != nil {
+		return nil, &dispatch.SendError{Err: errors.Wrap(checkErr, a.Server.Address)}
 	}
 	if err != nil {
 		return nil, &dispatch.SendError{Sent: connected.Load(), Err: errors.Wrap(err, a.Server.Address)}
--- a/internal/upstream/upstream_test.go
+++ b/internal/upstream/upstream_test.go
@@ -20,7 +20,7 @@
 	RunSpecs(t, "upstream")
 }
 
-// plainDialect passes headers through and takes X-Id as the request's ID.
+// plainDialect passes headers through unchanged and takes the request ID from X-Id.
 type plainDialect struct{}
 
 func (plainDialect) RequestHeader(r *dispatch.Request, _ dispatch.Attempt) http.Header {
@@ -31,7 +31,7 @@
 	return dispatch.ResponseInfo{RequestID: h.Get("X-Id")}
 }
 
-// rawServer accepts connections and gives each to a handler, with its number.
+// rawServer accepts connections and passes each to a handler, numbered from 1.
 func rawServer(handle func(n int, conn net.Conn, in *bufio.Reader)) string {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	Expect(err).NotTo(HaveOccurred())
@@ -64,7 +64,7 @@
 }
 
 var _ = Describe("a request to a server", func() {
-	It("arrives as the caller wrote it", func() {
+	It("reaches the server unchanged", func() {
 		address := rawServer(func(_ int, conn net.Conn, in *bufio.Reader) {
 			r, err := http.ReadRequest(in)
 			Expect(err).NotTo(HaveOccurred())
@@ -75,14 +75,14 @@
 			Expect(r.ContentLength).To(Equal(int64(5)))
 			_, _ = conn.Write([]byte("HTTP/1.1 200 OK\r\nX-Id: 1\r\nContent-Length: 2\r\n\r\nok"))
 		})
-		answer, sendErr := send(New(plainDialect{}), address, "hello")
+		response, sendErr := send(New(plainDialect{}), address, "hello")
 		Expect(sendErr).To(BeNil())
-		body, err := io.ReadAll(answer.Body)
+		body, err := io.ReadAll(response.Body)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(string(body)).To(Equal("ok"))
 	})
 
-	It("that is refused at the door wasn't sent", func() {
+	It("isn't sent when the connection is refused", func() {
 		listener, err := net.Listen("tcp", "127.0.0.1:0")
 		Expect(err).NotTo(HaveOccurred())
 		Expect(listener.Close()).To(Succeed())
@@ -90,7 +90,7 @@
 		Expect(sendErr.Sent).To(BeFalse())
 	})
 
-	It("may have been sent when the connection breaks without an answer", func() {
+	It("may have been sent when the connection breaks without a response", func() {
 		address := rawServer(func(_ int, conn net.Conn, in *bufio.Reader) {
 			_, _ = http.ReadRequest(in)
 			reset(conn)
@@ -99,7 +99,7 @@
 		Expect(sendErr.Sent).To(BeTrue())
 	})
 
-	It("isn't waited for at a connection that has fallen silent", func() {
+	It("fails on an unresponsive connection within two seconds", func() {
 		listener, err := net.Listen("tcp", "127.0.0.1:0")
 		Expect(err).NotTo(HaveOccurred())
 		DeferCleanup(listener.Close)
@@ -114,14 +114,14 @@
 				Expect(err).NotTo(HaveOccurred())
 				return value
 			}
-			// The system drops it at the first probe that is due once bytes or a probe
-			// have stayed unanswered for the user timeout.
+			// The connection is dropped at the first probe after bytes or a probe have stayed
+			// unacknowledged for the user timeout.
 			Expect(option(unix.TCP_KEEPIDLE) + option(unix.TCP_KEEPINTVL)).To(Equal(2))
 			Expect(option(unix.TCP_USER_TIMEOUT)).To(BeNumerically("<", 2000))
 		})).To(Succeed())
 	})
 
-	It("is never repeated on its own when a kept connection dies", func() {
+	It("is never resent automatically when a reused connection dies", func() {
 		requests := make(chan int, 8)
 		address := rawServer(func(n int, conn net.Conn, in *bufio.Reader) {
 			for i := 0; ; i++ {
@@ -139,20 +139,20 @@
 			}
 		})
 		b := New(plainDialect{})
-		answer, sendErr := send(b, address, "")
+		response, sendErr := send(b, address, "")
 		Expect(sendErr).To(BeNil())
-		_, _ = io.Copy(io.Discard, answer.Body)
-		_ = answer.Body.Close()
+		_, _ = io.Copy(io.Discard, response.Body)
+		_ = response.Body.Close()
 		_, sendErr = send(b, address, "")
 		Expect(sendErr).NotTo(BeNil())
 		Expect(sendErr.Sent).To(BeTrue())
 		Expect(requests).To(HaveLen(2))
 	})
 
-	DescribeTable("whose answer breaks off is known to be cut", func(answer string) {
+	DescribeTable("with a truncated response fails", func(response string) {
 		address := rawServer(func(_ int, conn net.Conn, in *bufio.Reader) {
 			_, _ = http.ReadRequest(in)
-			_, _ = conn.Write([]byte(answer))
+			_, _ = conn.Write([]byte(response))
 			reset(conn)
 		})
 		got, sendErr := send(New(plainDialect{}), address, "")
@@ -169,7 +169,7 @@
 		Entry("in its header", "HTTP/1.1 200 OK\r\nContent-Le"),
 	)
 
-	It("that meets an answer too many is told whose answer it got", func() {
+	It("is never given another request's response unnoticed", func() {
 		address := rawServer(func(_ int, conn net.Conn, in *bufio.Reader) {
 			for {
 				if _, err := http.ReadRequest(in); err != nil {
@@ -181,18 +181,18 @@
 		})
 		b := New(plainDialect{})
 		for range 5 {
-			answer, sendErr := send(b, address, "")
+			response, sendErr := send(b, address, "")
 			if sendErr != nil {
 				Expect(sendErr.Sent).To(BeTrue())
 				continue
 			}
-			body, _ := io.ReadAll(answer.Body)
-			_ = answer.Body.Close()
-			Expect(answer.Info.RequestID).To(Equal(map[string]string{"ok": "own", "stray": "stray"}[string(body)]))
+			body, _ := io.ReadAll(response.Body)
+			_ = response.Body.Close()
+			Expect(response.Info.RequestID).To(Equal(map[string]string{"ok": "own", "stray": "stray"}[string(body)]))
 		}
 	})
 
-	It("with a long body takes an answer that comes before the body is read", func() {
+	It("receives a response sent before its body has been read", func() {
 		address := rawServer(func(_ int, conn net.Conn, in *bufio.Reader) {
 			for {
 				line, err := in.ReadString('\n')
@@ -203,12 +203,12 @@
 			_, _ = conn.Write([]byte("HTTP/1.1 413 Too Large\r\nContent-Length: 0\r\n\r\n"))
 			_, _ = io.CopyN(io.Discard, in, 1<<20)
 		})
-		answer, sendErr := send(New(plainDialect{}), address, string(make([]byte, 1<<20)))
+		response, sendErr := send(New(plainDialect{}), address, string(make([]byte, 1<<20)))
 		Expect(sendErr).To(BeNil())
-		Expect(answer.Status).To(Equal(http.StatusRequestEntityTooLarge))
+		Expect(response.Status).To(Equal(http.StatusRequestEntityTooLarge))
 	})
 
-	It("ends at the server when its context ends", func() {
+	It("is aborted at the server when its context ends", func() {
 		closed := make(chan struct{})
 		address := rawServer(func(_ int, _ net.Conn, in *bufio.Reader) {
 			_, _ = http.ReadRequest(in)
