--- a/internal/selector/selector.go
+++ b/internal/selector/selector.go
@@ -1,6 +1,5 @@
-// Package selector decides which route a request takes and which backend
-// servers that route allows. Label selectors are evaluated once per
-// configuration, not per request.
+// Package selector selects the route of a request and the backend servers that the route
+// allows. Label selectors are evaluated once per configuration.
 package selector
 
 import (
@@ -13,7 +12,7 @@
 	"k8s.io/apimachinery/pkg/labels"
 )
 
-// Server is a backend server as routing sees it.
+// Server is a configured backend server.
 type Server struct {
 	Name   string
 	Labels map[string]string
@@ -25,7 +24,7 @@
 	Name    string
 	Spec    *config.Route
 	Service *config.Service
-	// Servers are the eligible servers, those of each zone adjacent.
+	// Servers are the servers that the route allows, ordered by zone.
 	Servers []*Server
 
 	customers labels.Selector
@@ -33,20 +32,20 @@
 	windows   []window
 }
 
-// Index answers route look-ups for one configuration. It is immutable.
+// Index looks up the routes, customers and servers of one configuration. It is immutable.
 type Index struct {
 	servers   map[string]*Server
 	routes    []*Route            // highest priority first
-	byModel   map[string][]*Route // routes that serve a model
+	byModel   map[string][]*Route // routes by model, highest priority first
 	prefixes  []prefixRoutes      // routes of plain services, longest prefix first
 	customers map[string]*Customer
-	byHash    map[string]*Customer
-	// unlabelled stands for customers that aren't configured.
-	unlabelled *Customer
-	view       *config.View
+	byKeyHash map[string]*Customer
+	// defaultCustomer stands for customers that aren't configured; it has no labels.
+	defaultCustomer *Customer
+	view            *config.View
 }
 
-// Customer is a customer with the routes open to it.
+// Customer is a configured customer and the routes that it may use.
 type Customer struct {
 	Name   string
 	Labels map[string]string
@@ -65,7 +64,7 @@
 		servers:   map[string]*Server{},
 		byModel:   map[string][]*Route{},
 		customers: map[string]*Customer{},
-		byHash:    map[string]*Customer{},
+		byKeyHash: map[string]*Customer{},
 		view:      view,
 	}
 	index.addServers(view)
@@ -107,6 +106,7 @@
 	return nil
 }
 
+// models returns the models that the route serves.
 func (r *Route) models() []string {
 	if r.Service.Protocol != config.ProtocolEngine {
 		return nil
@@ -127,7 +127,7 @@
 	spec := object.Route
 	service := view.Get(config.KindService, spec.Service)
 	if service == nil {
-		return nil, errors.Errorf("service %q doesn't exist", spec.Service)
+		return nil, errors.Errorf("service %q does not exist", spec.Service)
 	}
 	route := &Route{Name: object.Name, Spec: spec, Service: service.Service}
 	var err error
@@ -159,20 +159,20 @@
 }
 
 func (x *Index) addCustomers(view *config.View) {
-	x.unlabelled = &Customer{Spec: &config.Customer{}}
-	x.openRoutes(x.unlabelled)
+	x.defaultCustomer = &Customer{Spec: &config.Customer{}}
+	x.matchRoutes(x.defaultCustomer)
 	for _, object := range view.List(config.KindCustomer) {
 		customer := &Customer{Name: object.Name, Labels: object.Labels, Spec: object.Customer}
-		x.openRoutes(customer)
+		x.matchRoutes(customer)
 		x.customers[object.Name] = customer
 		for _, hash := range object.Customer.KeyHashes {
-			x.byHash[hash] = customer
+			x.byKeyHash[hash] = customer
 		}
 	}
 }
 
-// openRoutes notes the routes whose selector matches a customer.
-func (x *Index) openRoutes(customer *Customer) {
+// matchRoutes sets the routes whose selector matches a customer's labels.
+func (x *Index) matchRoutes(customer *Customer) {
 	customer.routes = map[*Route]bool{}
 	for _, route := range x.routes {
 		if route.customers.Matches(labels.Set(customer.Labels)) {
@@ -181,39 +181,38 @@
 	}
 }
 
-// CustomerOrDefault returns a customer by name; one that isn't configured has
-// no labels.
+// CustomerOrDefault returns a customer by name, or one without labels if the name isn't
+// configured.
 func (x *Index) CustomerOrDefault(name string) *Customer {
 	if customer := x.customers[name]; customer != nil {
 		return customer
 	}
-	return x.unlabelled
+	return x.defaultCustomer
 }
 
-// RouteForService returns the route for a customer's requests to a service, or nil.
-// routed tells whether any route leads to the service.
+// RouteForService returns the route for a customer's requests to a service, or nil. routed is
+// set if any route leads to the service.
 func (x *Index) RouteForService(customer *Customer, service string, now time.Time) (route *Route, routed bool) {
 	for _, r := range x.routes {
 		if r.Spec.Service != service {
 			continue
 		}
 		routed = true
-		if customer.routes[r] && r.open(now) {
+		if customer.routes[r] && r.isOpen(now) {
 			return r, true
 		}
 	}
 	return nil, routed
 }
 
-// MatchesServer tells whether the route's selector matches a server's labels.
+// MatchesServer reports whether the route's selector matches a server's labels.
 func (r *Route) MatchesServer(serverLabels map[string]string) bool {
 	return r.servers.Matches(labels.Set(serverLabels))
 }
 
-// HomeServers returns the servers among which a customer's idempotency keys for a
-// service have their homes: those of all routes open to the customer at any
-// time. Were it those of the route that is open now, a window's end would move
-// keys to servers that have never seen them.
+// HomeServers returns the servers among which the homes of a customer's idempotency keys for a
+// service are chosen: those of all routes that the customer may use at any time. Time windows
+// are ignored, since a change of route would move keys to servers that don't know them.
 func (x *Index) HomeServers(customer *Customer, service string) []*Server {
 	var servers []*Server
 	seen := map[string]bool{}
@@ -231,18 +230,19 @@
 	return servers
 }
 
-// ConfigOffset is the offset of the change that the index was compiled for.
+// ConfigOffset returns the log offset of the compiled configuration.
 func (x *Index) ConfigOffset() int64 { return x.view.Configured }
 
-// HomesOffset returns the offset of the last change of where a service's keys live.
+// HomesOffset returns the log offset of the last change that affects the homes of a service's
+// keys.
 func (x *Index) HomesOffset(service string) int64 { return x.view.HomesChange(service).Offset }
 
 // Customer returns a customer by name, or nil.
 func (x *Index) Customer(name string) *Customer { return x.customers[name] }
 
-// CustomerByKeyHash returns the customer with an API key of that SHA-256, or
-// nil. Looking up a hash leaks no timing about the key itself.
-func (x *Index) CustomerByKeyHash(hash string) *Customer { return x.byHash[hash] }
+// CustomerByKeyHash returns the customer that has an API key with this SHA-256, or nil.
+// Looking up the hash leaks no timing information about the key.
+func (x *Index) CustomerByKeyHash(hash string) *Customer { return x.byKeyHash[hash] }
 
 // Server returns a server by name, or nil.
 func (x *Index) Server(name string) *Server { return x.servers[name] }
@@ -252,40 +252,42 @@
 
 // RouteForModel returns the route for a customer's request for a model, or nil.
 func (x *Index) RouteForModel(customer *Customer, model string, now time.Time) *Route {
-	return firstOpen(x.byModel[model], customer, now)
+	return firstOpenRoute(x.byModel[model], customer, now)
 }
 
 // RouteForPath returns the route for a customer's request to a plain service, or nil.
 func (x *Index) RouteForPath(customer *Customer, path string, now time.Time) *Route {
 	for _, p := range x.prefixes {
-		if underPrefix(path, p.prefix) {
-			return firstOpen(p.routes, customer, now)
+		if matchesPrefix(path, p.prefix) {
+			return firstOpenRoute(p.routes, customer, now)
 		}
 	}
 	return nil
 }
 
-func underPrefix(path, prefix string) bool {
+// matchesPrefix reports whether a path is under a prefix, on segment boundaries.
+func matchesPrefix(path, prefix string) bool {
 	if !strings.HasPrefix(path, prefix) {
 		return false
 	}
 	return len(path) == len(prefix) || prefix[len(prefix)-1] == '/' || path[len(prefix)] == '/'
 }
 
-func firstOpen(routes []*Route, customer *Customer, now time.Time) *Route {
+// firstOpenRoute returns the first route that is open to the customer now, or nil.
+func firstOpenRoute(routes []*Route, customer *Customer, now time.Time) *Route {
 	for _, route := range routes {
-		if customer.routes[route] && route.open(now) {
+		if customer.routes[route] && route.isOpen(now) {
 			return route
 		}
 	}
 	return nil
 }
 
-// Models returns the models a customer may ask for now, sorted.
+// Models returns the models that a customer may request now, sorted.
 func (x *Index) Models(customer *Customer, now time.Time) []string {
 	var models []string
 	for model, routes := range x.byModel {
-		if firstOpen(routes, customer, now) != nil {
+		if firstOpenRoute(routes, customer, now) != nil {
 			models = append(models, model)
 		}
 	}
@@ -293,7 +295,8 @@
 	return models
 }
 
-func (r *Route) open(now time.Time) bool {
+// isOpen reports whether the route has no time windows or one of them contains now.
+func (r *Route) isOpen(now time.Time) bool {
 	if len(r.windows) == 0 {
 		return true
 	}
@@ -305,8 +308,8 @@
 	return false
 }
 
-// Explain tells for each server of the route's service whether the route
-// allows it, with the reason when it doesn't.
+// Explain returns, for each server, the reason why the route excludes it, or "" if it is
+// allowed.
 func (x *Index) Explain(route *Route) map[string]string {
 	reasons := map[string]string{}
 	for name, server := range x.servers {
--- a/internal/selector/selector_test.go
+++ b/internal/selector/selector_test.go
@@ -14,7 +14,8 @@
 	RunSpecs(t, "selector")
 }
 
-func indexOf(manifest string) *Index {
+// newTestIndex compiles a manifest.
+func newTestIndex(manifest string) *Index {
 	objects, err := config.ParseManifest([]byte(manifest))
 	Expect(err).NotTo(HaveOccurred())
 	bundle := &config.Bundle{CommandID: "1"}
@@ -31,7 +32,7 @@
 	return index
 }
 
-const world = `
+const testManifest = `
 kind: Customer
 name: gold
 labels: {tier: gold}
@@ -76,8 +77,8 @@
 	day := time.Date(2026, 6, 1, 10, 0, 0, 0, time.UTC) // a Monday
 	night := time.Date(2026, 6, 1, 20, 0, 0, 0, time.UTC)
 
-	It("follow customer, model, time and priority", func() {
-		x := indexOf(world)
+	It("are selected by customer, model, time and priority", func() {
+		x := newTestIndex(testManifest)
 		Expect(x.RouteForModel(x.Customer("gold"), "m", day).Name).To(Equal("gold-by-day"))
 		Expect(x.RouteForModel(x.Customer("gold"), "m", night).Name).To(Equal("rest"))
 		Expect(x.RouteForModel(x.Customer("gold"), "m2", day).Name).To(Equal("rest"))
@@ -85,31 +86,31 @@
 		Expect(x.RouteForModel(x.Customer("plain"), "other", day)).To(BeNil())
 	})
 
-	It("hold the servers that their selector allows", func() {
-		x := indexOf(world)
+	It("contain the servers that match their selector", func() {
+		x := newTestIndex(testManifest)
 		route := x.RouteForModel(x.Customer("gold"), "m", day)
 		Expect(route.Servers).To(HaveLen(1))
 		Expect(route.Servers[0].Name).To(Equal("east"))
 		Expect(x.Explain(route)).To(HaveKeyWithValue("west", ContainSubstring("side=east")))
 	})
 
-	It("give a customer's keys the same homes at any time of day", func() {
-		x := indexOf(world)
+	It("provide the same homes at any time of day", func() {
+		x := newTestIndex(testManifest)
 		homes := x.HomeServers(x.Customer("gold"), "writer")
 		Expect(homes).To(HaveLen(2))
 		Expect(x.HomeServers(x.Customer("plain"), "writer")).To(HaveLen(1))
 		Expect(x.RouteForModel(x.Customer("gold"), "m", day).Servers).NotTo(Equal(x.RouteForModel(x.Customer("gold"), "m", night).Servers))
 	})
 
-	It("match paths at segment borders", func() {
-		x := indexOf(world)
+	It("match paths on segment boundaries", func() {
+		x := newTestIndex(testManifest)
 		Expect(x.RouteForPath(x.Customer("plain"), "/api/x", day)).NotTo(BeNil())
 		Expect(x.RouteForPath(x.Customer("plain"), "/api", day)).NotTo(BeNil())
 		Expect(x.RouteForPath(x.Customer("plain"), "/apix", day)).To(BeNil())
 	})
 })
 
-var _ = DescribeTable("windows",
+var _ = DescribeTable("a time window",
 	func(w config.Window, at string, open bool) {
 		compiled, err := newWindow(w)
 		Expect(err).NotTo(HaveOccurred())
@@ -122,19 +123,19 @@
 	Entry("closes on the minute", office, "2026-06-01T16:00:00Z", false),
 	Entry("is closed on other days", office, "2026-06-07T10:00:00Z", false),
 	Entry("follows winter time", office, "2026-01-05T07:00:00Z", true),
-	Entry("and is closed an hour earlier then", office, "2026-01-05T06:30:00Z", false),
-	Entry("past midnight belongs to the day it started", overnight, "2026-06-06T01:00:00Z", true),
-	Entry("past midnight after a day that isn't listed", overnight, "2026-06-05T01:00:00Z", false),
+	Entry("is closed at the summer opening hour in winter", office, "2026-01-05T06:30:00Z", false),
+	Entry("past midnight belongs to the day on which it started", overnight, "2026-06-06T01:00:00Z", true),
+	Entry("past midnight is closed after an unlisted day", overnight, "2026-06-05T01:00:00Z", false),
 	// 29 March 2026: 02:00 becomes 03:00 in Budapest; 25 October 2026: 03:00 becomes 02:00.
-	Entry("that starts in the skipped hour opens right after it", small, "2026-03-29T01:00:00Z", true),
-	Entry("is open before the repeated hour's first pass ends", small, "2026-10-25T00:45:00Z", true),
-	Entry("is open in the repeated hour's second pass", small, "2026-10-25T01:45:00Z", true),
-	Entry("follows another zone's day", jos, "2026-06-01T23:30:00Z", true),
+	Entry("starting in a skipped hour opens right after it", earlyMorning, "2026-03-29T01:00:00Z", true),
+	Entry("is open in the first pass of a repeated hour", earlyMorning, "2026-10-25T00:45:00Z", true),
+	Entry("is open in the second pass of a repeated hour", earlyMorning, "2026-10-25T01:45:00Z", true),
+	Entry("follows the day of another time zone", lagos, "2026-06-01T23:30:00Z", true),
 )
 
 var (
-	office    = config.Window{Timezone: "Europe/Budapest", Days: []string{"Mon", "Tue", "Wed", "Thu", "Fri"}, From: "08:00", To: "18:00"}
-	overnight = config.Window{Timezone: "UTC", Days: []string{"Fri"}, From: "22:00", To: "06:00"}
-	small     = config.Window{Timezone: "Europe/Budapest", From: "02:30", To: "03:30"}
-	jos       = config.Window{Timezone: "Africa/Lagos", Days: []string{"Tue"}, From: "00:00", To: "06:00"}
+	office       = config.Window{Timezone: "Europe/Budapest", Days: []string{"Mon", "Tue", "Wed", "Thu", "Fri"}, From: "08:00", To: "18:00"}
+	overnight    = config.Window{Timezone: "UTC", Days: []string{"Fri"}, From: "22:00", To: "06:00"}
+	earlyMorning = config.Window{Timezone: "Europe/Budapest", From: "02:30", To: "03:30"}
+	lagos        = config.Window{Timezone: "Africa/Lagos", Days: []string{"Tue"}, From: "00:00", To: "06:00"}
 )
--- a/internal/selector/window.go
+++ b/internal/selector/window.go
@@ -9,9 +9,9 @@
 
 const minutesPerHour = 60
 
-// window is a compiled config.Window. It compares local wall-clock times, so
-// an hour that daylight saving repeats is open twice, and a start inside an
-// hour that daylight saving skips opens at the first minute after it.
+// window is a compiled config.Window. It compares local wall-clock times: an hour repeated by
+// daylight saving is open twice, and a start within a skipped hour takes effect at the first
+// minute after it.
 type window struct {
 	location *time.Location
 	days     [7]bool
