--- a/internal/config/agents.go
+++ b/internal/config/agents.go
@@ -5,35 +5,34 @@
 	"maps"
 )
 
-// AgentEvent is a record by the agent of a backend server: that a run of it
-// began, or that it ended in a planned stop, with the keys that it knows.
+// AgentEvent is a record by the agent of a backend server: the start of a run, or the end of one by
+// a planned stop, with the idempotency keys that the agent knows.
 type AgentEvent struct {
 	Server      string `json:"server"`
 	Incarnation string `json:"incarnation"`
-	// Previous is the offset of the last record of the server's agent that this
-	// run saw when it began; NoOffset for none.
+	// Previous is the offset of the last record of the server's agent that this run had seen at its
+	// start, or NoOffset.
 	Previous int64 `json:"previous"`
-	// Handover is set when the run has ended and will start nothing more.
+	// Handover is set if the run has ended and will execute no more requests.
 	Handover *Handover `json:"handover,omitempty"`
 }
 
-// Handover is what an agent that ended in a planned stop knew about
-// idempotency keys.
+// Handover holds what an agent knew about idempotency keys at a planned stop.
 type Handover struct {
-	// SealedMs is when it ended, CoveredFromMs the time from which on it knew of
-	// every key made since; both on its wall clock, in Unix milliseconds.
+	// SealedMs is the time of the stop, and CoveredFromMs the time since which the agent knew all
+	// new keys. Both are in Unix milliseconds by the agent's clock.
 	SealedMs      int64 `json:"sealedMs"`
 	CoveredFromMs int64 `json:"coveredFromMs"`
-	// Untimed is set when it also knew of every key without a time that is still
-	// in its window.
+	// Untimed is set if the agent also knew all keys without a timestamp that are still in their
+	// window.
 	Untimed bool `json:"untimed,omitempty"`
-	// Seen holds the hashes of the keys that may have run, eight bytes each.
+	// Seen holds the hashes of the keys whose requests may have been executed, eight bytes each.
 	Seen []byte `json:"seen,omitempty"`
 }
 
 const hashSize = 8
 
-// PackHashes returns hashes as Handover.Seen holds them.
+// PackHashes encodes hashes for Handover.Seen.
 func PackHashes(hashes []uint64) []byte {
 	packed := make([]byte, 0, hashSize*len(hashes))
 	for _, hash := range hashes {
@@ -42,7 +41,7 @@
 	return packed
 }
 
-// Hashes returns the hashes in Seen.
+// Hashes decodes Seen.
 func (h *Handover) Hashes() []uint64 {
 	hashes := make([]uint64, 0, len(h.Seen)/hashSize)
 	for rest := h.Seen; len(rest) >= hashSize; rest = rest[hashSize:] {
@@ -54,16 +53,16 @@
 // AgentRun is the last recorded run of a server's agent.
 type AgentRun struct {
 	Incarnation string `json:"incarnation"`
-	// Offset of the run's last record.
+	// Offset is the offset of the run's last record.
 	Offset int64 `json:"offset"`
-	// Handover is set while the run has ended and no other has begun.
+	// Handover is set from the end of the run until the next one starts.
 	Handover *Handover `json:"handover,omitempty"`
-	// Inherited is what the run before handed over to this one.
+	// Inherited is the handover of the previous run to this one.
 	Inherited *Handover `json:"inherited,omitempty"`
 }
 
-// foldAgent accepts a beginning that saw the last record of the server's agent,
-// so that a handover goes to one run at most, and an end of the run that is on.
+// applyAgent accepts the start of a run if it has seen the last record of the server's agent, so
+// that at most one run gets a handover, and the end of the current run. It ignores other records.
 func (s *State) applyAgent(event *AgentEvent, entry LogEntry) {
 	current, known := s.Agents[event.Server]
 	last := NoOffset
@@ -79,7 +78,7 @@
 	default:
 		return
 	}
-	agents := maps.Clone(s.Agents) // views share the old one
+	agents := maps.Clone(s.Agents) // views share the previous map
 	agents[event.Server] = next
 	s.Agents = agents
 }
--- a/internal/config/audit.go
+++ b/internal/config/audit.go
@@ -8,7 +8,7 @@
 	"github.com/pkg/errors"
 )
 
-// AuditAction names what an audit entry is about.
+// AuditAction is the kind of an audit entry.
 type AuditAction string
 
 // The audited actions.
@@ -16,12 +16,12 @@
 	AuditChange AuditAction = "change"
 	AuditLease  AuditAction = "lease"
 	AuditMap    AuditAction = "map"
-	// AuditRestore is a state carried over when the store came back from an older copy.
+	// AuditRestore is the carry-over of the state after the store was restored from an older copy.
 	AuditRestore AuditAction = "restore"
 )
 
-// AuditEntry tells who changed what, when, why, and what became of it. Each
-// entry's Hash covers the one before it, so that a removed or altered entry shows.
+// AuditEntry records who changed what, when and why, and the result. Hash covers the previous
+// entry's hash, so that removed or altered entries are detected.
 type AuditEntry struct {
 	Offset       int64       `json:"offset"`
 	TimeMs       int64       `json:"timeMs"`
@@ -61,11 +61,11 @@
 	return hex.EncodeToString(sum[:])
 }
 
-// VerifyAudit checks the hash chain of consecutive entries.
+// VerifyAudit verifies the hash chain of consecutive entries.
 func VerifyAudit(entries []AuditEntry) error {
 	for i := 1; i < len(entries); i++ {
 		if chainHash(entries[i-1].Hash, entries[i]) != entries[i].Hash {
-			return errors.Errorf("audit entry at offset %d doesn't follow the one at %d: the trail was altered", entries[i].Offset, entries[i-1].Offset)
+			return errors.Errorf("audit entry at offset %d doesn't follow the one at %d: the audit trail was altered", entries[i].Offset, entries[i-1].Offset)
 		}
 	}
 	return nil
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -28,7 +28,7 @@
 route: {service: writer, servers: "region in (hu)", windows: [{timezone: Europe/Budapest, days: [Mon], from: "08:00", to: "17:00"}]}
 `
 
-// fold applies a manifest as one bundle and returns its result.
+// applyManifest applies a manifest as one bundle and returns its result.
 func applyManifest(s *State, command, manifest string, expected int64) Result {
 	objects, err := ParseManifest([]byte(manifest))
 	Expect(err).NotTo(HaveOccurred())
@@ -46,14 +46,14 @@
 	return s.Results[bundle.CommandID]
 }
 
-var _ = Describe("changes", func() {
-	It("are accepted whole", func() {
+var _ = Describe("a bundle of changes", func() {
+	It("is accepted as a whole", func() {
 		s := NewState()
 		Expect(applyManifest(s, "1", goodManifest, 0).Accepted).To(BeTrue())
 		Expect(s.View().List(KindBackendServer)).To(HaveLen(1))
 	})
 
-	It("are rejected whole when one is wrong", func() {
+	It("is rejected as a whole if one change is invalid", func() {
 		s := NewState()
 		result := applyManifest(s, "1", goodManifest+"---\nkind: Route\nname: r2\nroute: {service: nowhere}\n", 0)
 		Expect(result.Accepted).To(BeFalse())
@@ -61,7 +61,7 @@
 		Expect(s.Objects).To(BeEmpty())
 	})
 
-	It("let the lower offset win between racing operators, and tell the other", func() {
+	It("is rejected with a reason if a concurrent one has a lower offset", func() {
 		s := NewState()
 		applyManifest(s, "1", goodManifest, 0)
 		revision := s.Objects["Service/writer"].Revision
@@ -72,7 +72,7 @@
 		Expect(second.Reason).To(ContainSubstring("changed meanwhile"))
 	})
 
-	It("have one effect however often the command is on the log", func() {
+	It("takes effect once if it is on the log repeatedly", func() {
 		s := NewState()
 		applyManifest(s, "1", goodManifest, 0)
 		first := s.Results["1"]
@@ -81,7 +81,7 @@
 		Expect(s.Audit).To(HaveLen(1))
 	})
 
-	It("may not give two services one path prefix", func() {
+	It("can't give two services the same path prefix", func() {
 		s := NewState()
 		plain := "kind: Service\nname: %s\nservice: {protocol: plain, pathPrefix: /x}\n"
 		Expect(applyManifest(s, "1", strings.ReplaceAll(plain, "%s", "one"), 0).Accepted).To(BeTrue())
@@ -90,7 +90,7 @@
 		Expect(result.Reason).To(ContainSubstring("service one has it already"))
 	})
 
-	It("may not delete what others name", func() {
+	It("can't delete a referenced object", func() {
 		s := NewState()
 		applyManifest(s, "1", goodManifest, 0)
 		result := applyBundle(s, &Bundle{CommandID: "2", Changes: []Change{{Kind: KindService, Name: "writer", ExpectedRevision: AnyRevision}}})
@@ -98,7 +98,7 @@
 		Expect(result.Reason).To(ContainSubstring("names it in"))
 	})
 
-	It("don't reach a view taken before them", func() {
+	It("doesn't change an earlier view", func() {
 		s := NewState()
 		applyManifest(s, "1", goodManifest, 0)
 		view := s.View()
@@ -108,8 +108,8 @@
 	})
 })
 
-var _ = Describe("the homes of keys", func() {
-	It("change with servers and routes, not with draining", func() {
+var _ = Describe("homes of keys", func() {
+	It("change with servers, routes and customer labels, not with draining", func() {
 		s := NewState()
 		applyManifest(s, "1", goodManifest, 0)
 		first := s.View().HomesChange("writer")
@@ -132,7 +132,7 @@
 	})
 })
 
-var _ = DescribeTable("mistakes name object, field, value and fix",
+var _ = DescribeTable("validation errors name the object, field, value and fix",
 	func(manifest string, parts ...string) {
 		_, err := ParseManifest([]byte(manifest))
 		Expect(err).To(HaveOccurred())
@@ -162,17 +162,17 @@
 	Entry("policy name", "kind: Policy\nname: other\npolicy: {}", "default"),
 )
 
-var _ = Describe("audit", func() {
-	It("shows an altered entry", func() {
+var _ = Describe("the audit trail", func() {
+	It("detects an altered entry", func() {
 		s := NewState()
 		applyManifest(s, "1", goodManifest, 0)
 		applyManifest(s, "2", "kind: Policy\nname: default\npolicy: {}\n", 0)
 		Expect(VerifyAudit(s.Audit)).To(Succeed())
-		s.Audit[1].Actor = "somebody else"
+		s.Audit[1].Actor = "other"
 		Expect(VerifyAudit(s.Audit)).To(MatchError(ContainSubstring("altered")))
 	})
 
-	It("holds no keys", func() {
+	It("contains no API keys", func() {
 		s := NewState()
 		applyManifest(s, "1", "kind: Customer\nname: c\ncustomer: {keyHashes: ["+strings.Repeat("ab", 32)+"]}\n", 0)
 		Expect(s.Audit[0].Objects).To(Equal([]string{"Customer/c"}))
--- a/internal/config/homes.go
+++ b/internal/config/homes.go
@@ -5,15 +5,15 @@
 	"reflect"
 )
 
-// HomesChange is the last change of where a service's idempotency keys live: of
-// its set of servers, or of a route to it.
+// HomesChange is the last change of the homes of a service's idempotency keys, by a change of its
+// servers or of a route to it.
 type HomesChange struct {
 	Offset int64 `json:"offset"`
 	TimeMs int64 `json:"timeMs"`
 }
 
-// noteHomes records whose keys' homes a bundle changes. It's called before the
-// bundle's objects are put in place.
+// recordHomesChanges records the services whose homes a bundle changes. It must be called before
+// the bundle is committed.
 func (s *State) recordHomesChanges(bundle *Bundle, entry LogEntry) {
 	changed := map[string]bool{}
 	for _, change := range bundle.Changes {
@@ -28,20 +28,20 @@
 	if len(changed) == 0 {
 		return
 	}
-	homes := maps.Clone(s.Homes) // views share the old one
+	homes := maps.Clone(s.Homes) // views share the previous map
 	for service := range changed {
 		homes[service] = HomesChange{Offset: entry.storedOffset(), TimeMs: entry.TimeMs}
 	}
 	s.Homes = homes
 }
 
-// relabeled tells whether a customer's labels change: other routes may be open to
-// it then.
+// relabeled reports whether the labels of a customer change, and with them the routes that it may
+// use.
 func relabeled(before, after *Object) bool {
 	return before != nil && after != nil && before.Customer != nil && !maps.Equal(before.Labels, after.Labels)
 }
 
-// eachSelectiveService visits the services that have a route for some customers.
+// eachSelectiveService calls visit for each service with a route that selects customers.
 func (s *State) eachSelectiveService(visit func(service string)) {
 	for _, object := range s.Objects {
 		if object.Route != nil && object.Route.Customers != "" {
@@ -50,8 +50,8 @@
 	}
 }
 
-// homesMoved returns the services whose keys' homes differ after an object has
-// changed. Draining doesn't move a home: the server closes its keys itself.
+// servicesWithChangedHomes returns the services whose homes change with an object. Draining doesn't
+// change homes, since the server closes its keys by itself.
 func servicesWithChangedHomes(before, after *Object) []string {
 	from, to := homeInputsOf(before), homeInputsOf(after)
 	if reflect.DeepEqual(from, to) {
@@ -66,7 +66,7 @@
 	return services
 }
 
-// home is what of an object decides about homes.
+// homeInputs holds the properties of an object that determine homes.
 type homeInputs struct {
 	service string
 	labels  map[string]string
--- a/internal/config/objects.go
+++ b/internal/config/objects.go
@@ -1,11 +1,11 @@
-// Package config is the aggregate of the deployment's configuration: the
-// objects operators declare, and the pure fold of log records that decides
-// which changes are in force. It does no I/O and reads no clock.
+// Package config is the configuration of the deployment: the objects that operators declare, and
+// the deterministic state machine that applies log records and decides which changes take effect.
+// It does no I/O and reads no clock.
 package config
 
 import "time"
 
-// Kind names a type of configuration object.
+// Kind is the type of a configuration object.
 type Kind string
 
 // The kinds of configuration objects.
@@ -19,10 +19,10 @@
 	KindQuarantine    Kind = "Quarantine"
 )
 
-// Kinds lists every kind in the order in which `get` prints them.
+// Kinds lists all kinds in the order in which the `get` command prints them.
 var Kinds = []Kind{KindPolicy, KindCustomer, KindService, KindBackendServer, KindGroup, KindRoute, KindQuarantine}
 
-// Object is one configuration object. Exactly the spec of its kind is set.
+// Object is a configuration object. Only the spec of its kind is set.
 type Object struct {
 	Kind   Kind              `json:"kind"`
 	Name   string            `json:"name"`
@@ -36,49 +36,49 @@
 	Policy        *Policy        `json:"policy,omitempty"`
 	Quarantine    *Quarantine    `json:"quarantine,omitempty"`
 
-	// Revision is the log offset of the change that set the object.
+	// Revision is 1 plus the log offset of the change that set the object.
 	Revision int64 `json:"revision,omitempty"`
 }
 
-// Customer is somebody who sends requests.
+// Customer sends requests and is identified by API keys.
 type Customer struct {
-	// Weight is the share of a congested server relative to other customers; default 1.
+	// Weight is the customer's share of a congested server relative to other customers; default 1.
 	Weight int `json:"weight,omitempty"`
-	// KeyHashes are SHA-256 hashes of the customer's API keys, in hex.
+	// KeyHashes are the SHA-256 hashes of the customer's API keys, in hex.
 	KeyHashes []string `json:"keyHashes,omitempty"`
-	// MaxInFlight bounds the customer's requests in flight at one entry; 0 is no bound.
+	// MaxInFlight limits the customer's requests in flight at one entry; 0 means no limit.
 	MaxInFlight int `json:"maxInFlight,omitempty"`
 }
 
-// Protocol tells how a service's backend servers are spoken to.
+// Protocol is the protocol of a service's backend servers.
 type Protocol string
 
 // The protocols of backend servers.
 const (
-	// ProtocolEngine is the OpenAI-style HTTP API, plain and streamed.
+	// ProtocolEngine is the OpenAI-style HTTP API, with or without streaming.
 	ProtocolEngine Protocol = "engine"
-	// ProtocolPlain passes method, path, headers and body through untouched.
+	// ProtocolPlain passes method, path, headers and body through unchanged.
 	ProtocolPlain Protocol = "plain"
 )
 
 // Service is a set of interchangeable backend servers.
 type Service struct {
 	Protocol Protocol `json:"protocol"`
-	// Models that an engine service serves.
+	// Models are the models that an engine service serves.
 	Models []string `json:"models,omitempty"`
-	// PathPrefix under which callers reach a plain service, such as /dispatch.
+	// PathPrefix is the path under which callers reach a plain service, such as /dispatch.
 	PathPrefix string `json:"pathPrefix,omitempty"`
-	// Idempotent is assumed for requests that don't say.
+	// Idempotent is the default for requests that don't specify it.
 	Idempotent bool `json:"idempotent,omitempty"`
-	// Class is assumed for requests that don't say; default normal.
+	// Class is the default for requests that don't specify one; default normal.
 	Class Class `json:"class,omitempty"`
-	// DeadlineMs is assumed for requests that don't say; default 30000.
+	// DeadlineMs is the default for requests that don't specify one; default 30000.
 	DeadlineMs int64 `json:"deadlineMs,omitempty"`
-	// MaxConcurrency bounds requests running at one server; default 8.
+	// MaxConcurrency limits the requests running at one server; default 8.
 	MaxConcurrency int `json:"maxConcurrency,omitempty"`
 }
 
-// Class is a request's priority class.
+// Class is the priority class of a request.
 type Class string
 
 // The priority classes, most urgent first.
@@ -88,90 +88,90 @@
 	ClassPatient Class = "patient"
 )
 
-// BackendServer is one backend server and the agent in front of it.
+// BackendServer is a backend server with its agent.
 type BackendServer struct {
 	Service string `json:"service"`
 	Zone    string `json:"zone"`
-	// Address of the agent's request port, as IP:port.
+	// Address is the agent's request port, as IP:port.
 	Address string `json:"address"`
-	// Control is the address of the agent's control port, as IP:port.
+	// Control is the agent's control port, as IP:port.
 	Control string `json:"control"`
 	// Draining takes the server out of routing while its requests finish.
 	Draining bool `json:"draining,omitempty"`
-	// Group and Rank are set for a server that is a rank of a group.
+	// Group and Rank are set if the server is a rank of a group.
 	Group string `json:"group,omitempty"`
 	Rank  int    `json:"rank,omitempty"`
-	// Engine is where the engine of a rank takes orders, as IP:port.
+	// Engine is the address at which the rank's engine accepts commands, as IP:port.
 	Engine string `json:"engine,omitempty"`
-	// IgnoresFence tells that the engine accepts orders with old fencing numbers.
+	// IgnoresFence is set if the engine accepts commands with outdated fencing tokens.
 	IgnoresFence bool `json:"ignoresFence,omitempty"`
 }
 
-// Group is a group of ranks that step together on one expert map.
+// Group is a group of ranks that run in lock-step on one expert map.
 type Group struct {
 	Service string `json:"service"`
 	Ranks   int    `json:"ranks"`
 	Experts int    `json:"experts"`
 	Layers  int    `json:"layers"`
-	// SlotsPerRank is how many expert replicas a rank holds per layer.
+	// SlotsPerRank is the number of expert replicas that a rank holds per layer.
 	SlotsPerRank int `json:"slotsPerRank"`
-	// SkewWeight is what one per cent of skew is worth; CostWeight is what one
-	// expert move costs. Only their ratio matters.
+	// SkewWeight is the weight of one per cent of skew, CostWeight that of one expert move. Only
+	// their ratio matters.
 	SkewWeight float64 `json:"skewWeight,omitempty"`
 	CostWeight float64 `json:"costWeight,omitempty"`
-	// PinnedMap stops rebalancing.
+	// PinnedMap disables rebalancing.
 	PinnedMap bool `json:"pinnedMap,omitempty"`
-	// MaxLoads is how many experts of a layer a rank may load for one map; default 2.
+	// MaxLoads limits the experts of a layer that a rank may load for one map; default 2.
 	MaxLoads int `json:"maxLoads,omitempty"`
 }
 
-// Route says which traffic may go to which backend servers.
+// Route defines which traffic may go to which backend servers.
 type Route struct {
-	// Priority orders routes; the highest that matches is used.
+	// Priority orders the routes; the matching route with the highest priority is used.
 	Priority int    `json:"priority,omitempty"`
 	Service  string `json:"service"`
-	// Customers is a label selector over customers; empty matches all.
+	// Customers is a label selector for customers; empty matches all.
 	Customers string `json:"customers,omitempty"`
-	// Servers is a label selector over backend servers; empty matches all.
+	// Servers is a label selector for backend servers; empty matches all.
 	Servers string `json:"servers,omitempty"`
-	// Models limits the route to these models; empty matches all.
+	// Models restricts the route to these models; empty matches all.
 	Models []string `json:"models,omitempty"`
-	// Windows limits the route to times of the week; empty matches always.
+	// Windows restricts the route to times of the week; empty matches always.
 	Windows []Window `json:"windows,omitempty"`
-	// Class overrides the service's default class.
+	// Class overrides the service's class.
 	Class Class `json:"class,omitempty"`
-	// DeadlineMs overrides the service's default deadline.
+	// DeadlineMs overrides the service's deadline.
 	DeadlineMs int64 `json:"deadlineMs,omitempty"`
 }
 
-// Window is a daily span of local time on some days of the week. A span whose
-// end is not after its start runs past midnight and belongs to the day it starts.
+// Window is a daily interval of local time on some days of the week. An interval whose end isn't
+// after its start extends past midnight and belongs to the day on which it starts.
 type Window struct {
 	// Timezone is an IANA name such as Europe/Budapest.
 	Timezone string `json:"timezone"`
-	// Days such as Mon; empty is every day.
+	// Days are names such as Mon; empty means every day.
 	Days []string `json:"days,omitempty"`
-	// From and To are local times of day as HH:MM.
+	// From and To are local times of day, as HH:MM.
 	From string `json:"from"`
 	To   string `json:"to"`
 }
 
-// Quarantine keeps one request, and the repeats of it, from all servers. Entries set it
-// when servers end while they run the request. It's named by the request's digest;
-// deleting it lets the request run again.
+// Quarantine keeps a request and its repeats from all servers. Entries create it when servers crash
+// while they run the request. Its name is the request's digest; deleting it allows the request
+// again.
 type Quarantine struct {
-	// Customer and Path are of the request, where an entry set it.
+	// Customer and Path identify the origin of the request if an entry created the quarantine.
 	Customer string `json:"customer,omitempty"`
 	Path     string `json:"path,omitempty"`
-	// SinceMs is when the first server ended, in milliseconds of the Unix epoch.
+	// SinceMs is the time of the first crash, in Unix milliseconds.
 	SinceMs int64 `json:"sinceMs,omitempty"`
-	// Servers are those that ended.
+	// Servers are the servers that crashed.
 	Servers []string `json:"servers,omitempty"`
-	// UntilMs is when it ends, in milliseconds of the Unix epoch.
+	// UntilMs is the end of the quarantine, in Unix milliseconds.
 	UntilMs int64 `json:"untilMs"`
 }
 
-// Until is when the quarantine ends.
+// Until returns the end of the quarantine.
 func (q Quarantine) Until() time.Time { return time.UnixMilli(q.UntilMs) }
 
 // PolicyName is the name of the only Policy object.
@@ -179,19 +179,19 @@
 
 // Policy holds deployment-wide settings.
 type Policy struct {
-	// RetryPercent is how many retries a customer may spend per hundred requests; default 10.
+	// RetryPercent is the number of retries allowed per hundred requests of a customer; default 10.
 	RetryPercent int `json:"retryPercent,omitempty"`
-	// PatientPercent is the share of a server kept for patient requests; default 10.
+	// PatientPercent is the share of a server reserved for patient requests; default 10.
 	PatientPercent int `json:"patientPercent,omitempty"`
-	// KeyWindowSeconds is how long answers are kept for idempotency keys; default 600.
+	// KeyWindowSeconds is how long responses are kept for idempotency keys; default 600.
 	KeyWindowSeconds int `json:"keyWindowSeconds,omitempty"`
-	// ClockSkewMs bounds how far the clocks of VMs and callers differ; default 5000.
+	// ClockSkewMs is the maximum clock difference between VMs and callers; default 5000.
 	ClockSkewMs int64 `json:"clockSkewMs,omitempty"`
-	// AuditEntries is how many audit entries are kept; default 20000.
+	// AuditEntries is the number of audit entries to keep; default 20000.
 	AuditEntries int `json:"auditEntries,omitempty"`
 }
 
-// Defaults for Policy fields that are zero.
+// Defaults for zero fields of Policy.
 const (
 	defaultRetryPercent     = 10
 	defaultPatientPercent   = 10
@@ -200,7 +200,7 @@
 	defaultAuditEntries     = 20000
 )
 
-// WithDefaults returns p with its zero fields replaced by the defaults.
+// WithDefaults returns p with zero fields replaced by the defaults.
 func (p Policy) WithDefaults() Policy {
 	if p.RetryPercent == 0 {
 		p.RetryPercent = defaultRetryPercent
@@ -220,8 +220,8 @@
 	return p
 }
 
-// KeyWindow is how long answers are kept for idempotency keys.
+// KeyWindow returns how long responses are kept for idempotency keys.
 func (p Policy) KeyWindow() time.Duration { return time.Duration(p.KeyWindowSeconds) * time.Second }
 
-// ClockSkew bounds how far the clocks of VMs and callers differ.
+// ClockSkew returns the maximum clock difference between VMs and callers.
 func (p Policy) ClockSkew() time.Duration { return time.Duration(p.ClockSkewMs) * time.Millisecond }
--- a/internal/config/record.go
+++ b/internal/config/record.go
@@ -8,19 +8,19 @@
 )
 
 const (
-	// FormatVersion is the format of records that any release folds.
+	// FormatVersion is the record format that all releases support.
 	FormatVersion = 1
-	// quarantineFormat is that of changes of quarantines: a release that doesn't know
-	// them would reject the change, and its state would differ from the others'; as a newer
-	// format, it's skipped there and counted.
+	// quarantineFormat is the format of changes to quarantines. Releases that don't support
+	// quarantines must skip such a change rather than reject it, since a rejection would make their
+	// state differ.
 	quarantineFormat = 2
-	// restoreFormat is that of restored states, which releases without eras skip.
+	// restoreFormat is the format of restored states; releases without eras skip it.
 	restoreFormat = 3
-	// newestFormat is the newest that this release folds.
+	// newestFormat is the newest format that this release supports.
 	newestFormat = restoreFormat
 )
 
-// NewChange returns the record of a bundle, in the oldest format that has its kinds.
+// NewChange returns the record of a bundle in the oldest format that supports the bundle's kinds.
 func NewChange(bundle *Bundle) *Record {
 	record := &Record{Format: FormatVersion, Kind: RecordChange, Bundle: bundle}
 	for _, change := range bundle.Changes {
@@ -31,7 +31,7 @@
 	return record
 }
 
-// RecordKind names what a log record carries.
+// RecordKind is the type of a log record.
 type RecordKind string
 
 // The kinds of log records.
@@ -43,65 +43,63 @@
 	RecordRestore RecordKind = "restore"
 )
 
-// Record is one entry of the platform's log as crowbridge writes it.
+// Record is a record of the platform's log.
 type Record struct {
-	Format int         `json:"format"`
-	Kind   RecordKind  `json:"kind"`
-	Bundle *Bundle     `json:"bundle,omitempty"`
-	Agent  *AgentEvent `json:"agent,omitempty"`
-	Event  *Event      `json:"event,omitempty"`
-	// Restore is a part of a whole state.
+	Format  int          `json:"format"`
+	Kind    RecordKind   `json:"kind"`
+	Bundle  *Bundle      `json:"bundle,omitempty"`
+	Agent   *AgentEvent  `json:"agent,omitempty"`
+	Event   *Event       `json:"event,omitempty"`
 	Restore *RestorePart `json:"restore,omitempty"`
 }
 
-// Event tells the audit trail of something that a daemon did. It changes nothing
-// else.
+// Event adds an entry about an action of a daemon to the audit trail. It changes nothing else.
 type Event struct {
 	Actor  string      `json:"actor"`
 	Action AuditAction `json:"action"`
-	// Object is what it was done to, as Kind/name.
+	// Object is the object of the action, as Kind/name.
 	Object string `json:"object"`
-	// Detail is for people.
+	// Detail is a description for operators.
 	Detail string `json:"detail,omitempty"`
 }
 
-// Bundle is an all-or-nothing set of changes by one operator.
+// Bundle is an atomic set of changes by an operator.
 type Bundle struct {
-	// CommandID makes the bundle idempotent: it takes effect once, however often it's on the log.
+	// CommandID makes the bundle idempotent: it takes effect once, however often it is on the log.
 	CommandID string   `json:"commandId"`
 	Actor     string   `json:"actor"`
 	Reason    string   `json:"reason,omitempty"`
 	Changes   []Change `json:"changes"`
 }
 
-// AnyRevision as a change's expected revision matches every revision.
+// AnyRevision as the expected revision of a change matches every revision.
 const AnyRevision int64 = -1
 
-// Change sets or deletes one object.
+// Change sets or deletes an object.
 type Change struct {
 	Kind Kind   `json:"kind"`
 	Name string `json:"name"`
 	// Object is the new object; nil deletes it.
 	Object *Object `json:"object,omitempty"`
-	// ExpectedRevision is the revision the change was made against: 0 means that
-	// the object must not exist, AnyRevision skips the check.
+	// ExpectedRevision is the revision on which the change is based: 0 means that the object must
+	// not exist, AnyRevision skips the check.
 	ExpectedRevision int64 `json:"expectedRevision"`
 }
 
-// LogEntry is a record's bytes with its position and the time that its writer gave it.
+// LogEntry is an encoded record with its position and its writer's timestamp.
 type LogEntry struct {
 	Position storelog.Position
 	TimeMs   int64
 	Data     []byte
 }
 
-// Encode returns the bytes that go onto the log.
+// Encode encodes the record for the log.
 func (r *Record) Encode() ([]byte, error) {
 	data, err := json.Marshal(r)
 	return data, errors.Wrap(err, "encode record")
 }
 
-// DecodeRecord reads a record's bytes.
+// DecodeRecord decodes a record.
 func DecodeRecord(data []byte) (*Record, error) {
 	var record Record
 	if err := json.Unmarshal(data, &record); err != nil {
--- a/internal/config/restore.go
+++ b/internal/config/restore.go
@@ -11,27 +11,27 @@
 	"github.com/pkg/errors"
 )
 
-// Restore is a part of a state that was known in a former era of the log. Whoever folds the
-// last part goes on from that state, so that all have the same again.
+// RestorePart is a part of a state from a prior era of the log. Processes that apply the last part
+// continue from that state, so that all have the same state again.
 type RestorePart struct {
-	// Era is the one into which the state is carried over.
+	// Era is the era into which the state is carried over.
 	Era int64 `json:"era"`
-	// Part counts the parts from 0, Parts is how many there are.
+	// Part is the index of this part, Parts the number of parts.
 	Part  int `json:"part"`
 	Parts int `json:"parts"`
-	// Known is up to where the state was known in the former era.
+	// Known is the position of the state in the prior era.
 	Known storelog.Position `json:"known"`
-	// Data is the part's piece of the state, as EncodeSnapshot returns it.
+	// Data is this part of the encoded state.
 	Data []byte `json:"data"`
 }
 
-// restoreActor stands in the audit trail where no operator acted.
+// restoreActor is the actor of audit entries for restores.
 const restoreActor = "crowbridged"
 
-// restorePart bounds a part: in base64 it fits into a record of 256 KiB.
+// maxRestorePartBytes limits a part so that its base64 form fits into a record of 256 KiB.
 const maxRestorePartBytes = 180 << 10
 
-// NewRestore returns the records that carry a state over.
+// EncodeRestore returns the records that carry a state over into an era.
 func EncodeRestore(s *State, era int64, known storelog.Position) ([][]byte, error) {
 	snapshot, err := s.EncodeSnapshot()
 	if err != nil {
@@ -52,34 +52,34 @@
 	return records, nil
 }
 
-// Restores tells whether an entry is the first part of a state that is carried over into its
-// own era.
+// StartsRestore reports whether the entry is the first part of a state that is carried over into
+// the entry's era.
 func (e LogEntry) StartsRestore() bool {
 	record, err := DecodeRecord(e.Data)
 	return err == nil && record.Kind == RecordRestore && record.Restore != nil &&
 		record.Restore.Part == 0 && record.Restore.Era == e.Position.Era()
 }
 
-// Digest tells records apart, wherever they lie.
+// Digest returns a digest of the record that doesn't depend on its position.
 func (e LogEntry) Digest() string {
 	digest := xxhash.New()
-	_, _ = digest.Write(binary.BigEndian.AppendUint64(nil, uint64(e.TimeMs))) // it never fails
+	_, _ = digest.Write(binary.BigEndian.AppendUint64(nil, uint64(e.TimeMs))) // never fails
 	_, _ = digest.Write(e.Data)
 	return hex.EncodeToString(digest.Sum(nil))
 }
 
-// number is the entry's position where the state keeps it.
+// storedOffset returns the position as it is stored in the state.
 func (e LogEntry) storedOffset() int64 { return int64(e.Position) }
 
-// RecentChange is a record of a change and the ID of its command.
+// RecentChange is the record of a change and the ID of its command.
 type RecentChange struct {
 	Command string `json:"command"`
 	Data    []byte `json:"data"`
 }
 
 const (
-	// mostRecent and mostRecentBytes bound the changes that are kept as records. A copy of the
-	// store is some seconds old; 8,600 changes a day are one in ten seconds.
+	// maxRecentChanges and maxRecentChangesBytes limit the retained changes. A copy of the store is
+	// a few seconds old, and 8,600 changes a day are one in ten seconds.
 	maxRecentChanges      = 256
 	maxRecentChangesBytes = 256 << 10
 )
@@ -96,10 +96,10 @@
 	}
 }
 
-// Enter goes on in another era of the log, whose records up to a position are known.
+// EnterEra continues in another era of the log after a known position.
 func (s *State) EnterEra(known storelog.Position) { s.Position = known }
 
-// Clone returns a copy that shares nothing.
+// Clone returns a deep copy.
 func (s *State) Clone() (*State, error) {
 	snapshot, err := s.EncodeSnapshot()
 	if err != nil {
@@ -109,7 +109,7 @@
 	return clone, errors.Wrap(err, "clone")
 }
 
-// foldRestore goes on from a state of a former era once its last part is there.
+// applyRestore collects the parts of a state and replaces the current state after the last one.
 func (s *State) applyRestore(restore *RestorePart, entry LogEntry) {
 	if restore.Part == 0 {
 		s.PartialRestore = nil
--- a/internal/config/snapshot.go
+++ b/internal/config/snapshot.go
@@ -9,7 +9,7 @@
 	"github.com/pkg/errors"
 )
 
-// EncodeSnapshot returns the state as bytes that DecodeSnapshot reads.
+// EncodeSnapshot encodes the state for DecodeSnapshot.
 func (s *State) EncodeSnapshot() ([]byte, error) {
 	var buffer bytes.Buffer
 	writer := gzip.NewWriter(&buffer)
@@ -22,7 +22,7 @@
 	return buffer.Bytes(), nil
 }
 
-// DecodeSnapshot reads the bytes of EncodeSnapshot.
+// DecodeSnapshot decodes a state that EncodeSnapshot encoded.
 func DecodeSnapshot(data []byte) (*State, error) {
 	reader, err := gzip.NewReader(bytes.NewReader(data))
 	if err != nil {
--- a/internal/config/state.go
+++ b/internal/config/state.go
@@ -12,25 +12,25 @@
 	"github.com/pkg/errors"
 )
 
-// Result is what became of one command.
+// Result is the result of a command.
 type Result struct {
 	Offset   int64  `json:"offset"`
 	Accepted bool   `json:"accepted"`
 	Reason   string `json:"reason,omitempty"`
 }
 
-// maxCommands is how many command IDs are remembered for idempotent repeats.
-// At 8,600 changes a day that is more than two days.
+// maxCommands is the number of command IDs that are remembered to detect duplicates: more than two
+// days at 8,600 changes a day.
 const maxCommands = 20000
 
-// State is the fold of the log up to Position. Every process that folded to the
-// same position has the same State, byte for byte, once what may have been lost with an
-// older copy of the log has been carried over. Not safe for concurrent use;
-// View gives an immutable copy. The offsets in it are positions as numbers: they never fall.
+// State is the result of applying the log up to Position. All processes at the same position have
+// an identical state, once the state has been carried over after a restore of the store. The
+// offsets in it are positions as integers, so they never decrease. State isn't safe for concurrent
+// use; View returns an immutable view.
 type State struct {
 	Position storelog.Position `json:"offset"`
-	// Last is a digest of the record at Position: it tells whether another era of the log
-	// has the same record there. Empty in states of releases that don't know eras.
+	// Last is the digest of the record at Position, by which the same record is recognized in
+	// another era of the log. It is empty in snapshots of releases without eras.
 	Last string `json:"last,omitempty"`
 	// Configured is the offset of the last accepted change.
 	Configured int64 `json:"configured"`
@@ -43,22 +43,22 @@
 	Audit        []AuditEntry                  `json:"audit"`
 	Chain        string                        `json:"chain"`
 	Skipped      map[RecordKind]SkippedRecords `json:"unread,omitempty"`
-	// Recent are the newest accepted changes as they lay on the log, oldest first: an older
+	// RecentChanges holds the last accepted changes as log records, oldest first, since an older
 	// copy of the log may lack them.
 	RecentChanges []RecentChange `json:"recent,omitempty"`
-	// Restoring are the parts so far of a state that is being restored.
+	// PartialRestore holds the parts applied so far of a state that is being restored.
 	PartialRestore []byte `json:"restoring,omitempty"`
 
-	shared bool // Objects is shared with a View and must be cloned before a write
+	shared bool // Objects is shared with a View and must be cloned before a change
 }
 
-// UnreadAt marks records that this release does not know how to fold.
+// SkippedRecords counts records that this release doesn't support.
 type SkippedRecords struct {
 	First int64 `json:"first"`
 	Count int64 `json:"count"`
 }
 
-// NoOffset is the offset of a State that has folded nothing.
+// NoOffset is the offset before the first record.
 const NoOffset int64 = -1
 
 // NewState returns the state before the first record.
@@ -73,12 +73,12 @@
 	}
 }
 
-// ErrGap is returned by Fold when a record is missing before the given one.
-var ErrGap = errors.New("log record out of order: a record before it is missing")
+// ErrGap is returned by Apply if the record doesn't directly follow Position.
+var ErrGap = errors.New("gap in the log: the record before this one is missing")
 
-// Fold applies the next record. A record at or below Position was folded before
-// and changes nothing, so duplicate delivery is harmless. A record that leaves
-// a gap is refused. Bytes that are no record are skipped the same way everywhere.
+// Apply applies the next record. Duplicates, that is, records at or below Position, are ignored. A
+// record after a gap is refused. Records that can't be decoded are skipped, in the same way by
+// every process.
 func (s *State) Apply(entry LogEntry) error {
 	if entry.Position <= s.Position {
 		return nil
@@ -158,7 +158,8 @@
 	return ids
 }
 
-// Check tells whether the bundle would be accepted now. It changes nothing.
+// Check returns the reason why the bundle would be rejected now, or nil. It changes nothing. The
+// reason becomes part of the state, so all releases must return the same text.
 func (s *State) Check(bundle *Bundle) error {
 	if bundle.CommandID == "" {
 		return errors.New("commandId: empty: give each command an ID of its own")
@@ -202,7 +203,8 @@
 	}
 	revision := int64(0)
 	if current != nil {
-		// Offsets start at 0, so a revision is kept as offset+1.
+		// A revision is the offset + 1: offsets start at 0, and revision 0 means that the object
+		// doesn't exist.
 		revision = current.Revision
 	}
 	if revision != expected {
@@ -268,8 +270,8 @@
 	return o.object(string(kind) + "/" + name)
 }
 
-// checkReferences checks that what the changed objects name exists, and that
-// nothing that stays names a deleted object.
+// checkReferences checks that all objects referenced by changed objects exist, and that no
+// remaining object references a deleted one.
 func (o *overlay) checkReferences() error {
 	for _, id := range slices.Sorted(maps.Keys(o.changed)) {
 		object := o.changed[id]
@@ -298,8 +300,8 @@
 	return nil
 }
 
-// checkPrefix checks that no two plain services share a path prefix: a call's
-// service, and so the homes of its key, must not depend on the route.
+// checkPrefix checks that no two plain services share a path prefix: the service of a call, and so
+// the homes of its idempotency key, must not depend on the route.
 func (o *overlay) checkPrefix(object *Object) error {
 	if object.Service == nil || object.Service.PathPrefix == "" {
 		return nil
@@ -313,7 +315,7 @@
 	return nil
 }
 
-// ids returns the IDs of the objects before and after the bundle, sorted.
+// ids returns the sorted IDs of the objects before and after the bundle.
 func (o *overlay) ids() []string {
 	all := maps.Clone(o.base)
 	maps.Copy(all, o.changed)
--- a/internal/config/state_property_test.go
+++ b/internal/config/state_property_test.go
@@ -9,16 +9,14 @@
 	"pgregory.net/rapid"
 )
 
-// The seed is fixed, so that CI gives the same verdict every time; -rapid.seed=0
-// draws another one.
+// The seed is fixed for reproducible CI runs; -rapid.seed=0 draws a random one.
 func init() {
 	if err := flag.Set("rapid.seed", "1"); err != nil {
 		panic(err)
 	}
 }
 
-// fakeLog is an append-only log that loses answers, doubles records and keeps
-// only the newest.
+// fakeLog is an append-only log that expires its oldest records.
 type fakeLog struct {
 	entries []LogEntry
 	first   storelog.Position
@@ -36,17 +34,17 @@
 	return l.entries[after+1:]
 }
 
-// world is the state machine that rapid drives: writers race, folders read in
-// pieces, restart from kept states or peers, and the log forgets its past.
+// stateMachine is the model that rapid drives: concurrent writers, duplicate records, replicas that
+// read in batches or restart from a persisted state or a peer's, and a log that expires records.
 type stateMachine struct {
 	log      *fakeLog
 	replicas []*State
-	// hashes is the state's hash at each offset, from whoever folded it first.
+	// hashes maps each position to the hash of the first replica that reached it.
 	hashes map[storelog.Position]string
-	// accepted is the verdict of each command, from whoever folded it first.
+	// accepted maps each command to the result at the first replica that applied it.
 	accepted map[string]bool
 	commands int
-	// kept is the newest state on the store, as of an offset.
+	// savedSnapshot is the newest persisted state, savedPosition its position.
 	savedSnapshot []byte
 	savedPosition storelog.Position
 }
@@ -60,7 +58,7 @@
 }
 
 func (w *stateMachine) write(t *rapid.T) {
-	folder := rapid.SampledFrom(w.replicas).Draw(t, "writer reads from")
+	replica := rapid.SampledFrom(w.replicas).Draw(t, "writer")
 	name := fmt.Sprintf("c%d", rapid.IntRange(0, 2).Draw(t, "object"))
 	w.commands++
 	change := Change{Kind: KindCustomer, Name: name, ExpectedRevision: AnyRevision}
@@ -69,13 +67,13 @@
 	}
 	if rapid.Bool().Draw(t, "checks revision") {
 		change.ExpectedRevision = 0
-		if current := folder.Objects[string(KindCustomer)+"/"+name]; current != nil {
+		if current := replica.Objects[string(KindCustomer)+"/"+name]; current != nil {
 			change.ExpectedRevision = current.Revision
 		}
 	}
 	bundle := &Bundle{CommandID: fmt.Sprintf("cmd%d", w.commands), Actor: "op", Changes: []Change{change}}
 	data := mustEncode(t, &Record{Format: FormatVersion, Kind: RecordChange, Bundle: bundle})
-	// A writer whose answer is lost appends again.
+	// A writer that gets no response appends again.
 	for range rapid.IntRange(1, 3).Draw(t, "appends") {
 		w.log.append(data)
 	}
@@ -85,70 +83,69 @@
 	w.log.append([]byte(rapid.SampledFrom([]string{"", "{", `{"format":99,"kind":"later"}`, `{"format":1,"kind":"other"}`, `{"format":1,"kind":"change"}`}).Draw(t, "bytes")))
 }
 
-// event writes what changes nothing but the audit trail.
+// event writes a record that changes only the audit trail.
 func (w *stateMachine) event(t *rapid.T) {
 	actor := rapid.SampledFrom([]string{"h1", "h2"}).Draw(t, "actor")
 	w.log.append(mustEncode(t, &Record{Format: FormatVersion, Kind: RecordEvent, Event: &Event{Actor: actor, Action: AuditMap, Object: "Group/g"}}))
 }
 
 func (w *stateMachine) apply(t *rapid.T) {
-	folder := rapid.SampledFrom(w.replicas).Draw(t, "folder")
-	entries := w.log.read(folder.Position)
+	replica := rapid.SampledFrom(w.replicas).Draw(t, "replica")
+	entries := w.log.read(replica.Position)
 	n := rapid.IntRange(0, len(entries)).Draw(t, "records")
 	for _, entry := range entries[:n] {
-		w.applyOne(t, folder, entry)
+		w.applyOne(t, replica, entry)
 	}
-	if n > 0 && rapid.Bool().Draw(t, "delivered again") {
-		w.applyOne(t, folder, entries[n-1])
+	if n > 0 && rapid.Bool().Draw(t, "duplicate") {
+		w.applyOne(t, replica, entries[n-1])
 	}
 }
 
-func (w *stateMachine) applyOne(t *rapid.T, folder *State, entry LogEntry) {
-	before := folder.Position
-	if err := folder.Apply(entry); err != nil {
-		t.Fatalf("fold: %v", err)
+func (w *stateMachine) applyOne(t *rapid.T, replica *State, entry LogEntry) {
+	before := replica.Position
+	if err := replica.Apply(entry); err != nil {
+		t.Fatalf("apply: %v", err)
 	}
-	if folder.Position < before {
-		t.Fatalf("position fell from %s to %s", before, folder.Position)
+	if replica.Position < before {
+		t.Fatalf("position decreased from %s to %s", before, replica.Position)
 	}
-	w.observe(t, folder)
+	w.observe(t, replica)
 }
 
-// observe checks that the same offset means the same state, and that no verdict
-// ever changes.
-func (w *stateMachine) observe(t *rapid.T, folder *State) {
-	hash := folder.Hash()
-	if known, ok := w.hashes[folder.Position]; ok && known != hash {
-		t.Fatalf("position %s has two states", folder.Position)
+// observe checks that replicas at the same position have the same state and that no result changes.
+func (w *stateMachine) observe(t *rapid.T, replica *State) {
+	hash := replica.Hash()
+	if known, ok := w.hashes[replica.Position]; ok && known != hash {
+		t.Fatalf("position %s has two states", replica.Position)
 	}
-	w.hashes[folder.Position] = hash
-	for command, result := range folder.Results {
+	w.hashes[replica.Position] = hash
+	for command, result := range replica.Results {
 		if known, ok := w.accepted[command]; ok && known != result.Accepted {
-			t.Fatalf("%s was accepted=%t and is accepted=%t", command, known, result.Accepted)
+			t.Fatalf("%s changed from accepted=%t to accepted=%t", command, known, result.Accepted)
 		}
 		w.accepted[command] = result.Accepted
 	}
 }
 
 func (w *stateMachine) saveSnapshot(t *rapid.T) {
-	folder := rapid.SampledFrom(w.replicas).Draw(t, "writes snapshot")
-	data, err := folder.EncodeSnapshot()
+	replica := rapid.SampledFrom(w.replicas).Draw(t, "writer")
+	data, err := replica.EncodeSnapshot()
 	if err != nil {
 		t.Fatalf("snapshot: %v", err)
 	}
-	if folder.Position > w.savedPosition {
-		w.savedSnapshot, w.savedPosition = data, folder.Position
+	if replica.Position > w.savedPosition {
+		w.savedSnapshot, w.savedPosition = data, replica.Position
 	}
 }
 
 func (w *stateMachine) truncateLog(t *rapid.T) {
-	w.log.first = min(w.log.first+storelog.Position(rapid.IntRange(0, 8).Draw(t, "forgotten")), storelog.Position(len(w.log.entries)))
+	w.log.first = min(w.log.first+storelog.Position(rapid.IntRange(0, 8).Draw(t, "expired records")), storelog.Position(len(w.log.entries)))
 }
 
-// replace gives a folder's place to a fresh VM, which starts from the kept state
-// that the log continues, or else from a peer.
+// replace restarts a replica on a new VM, from the persisted state if the log continues it,
+// otherwise from a peer's state.
 func (w *stateMachine) replace(t *rapid.T) {
-	i := rapid.IntRange(0, len(w.replicas)-1).Draw(t, "replaced")
+	i := rapid.IntRange(0, len(w.replicas)-1).Draw(t, "replica")
 	var fresh *State
 	switch {
 	case w.log.first == 0:
@@ -173,10 +170,10 @@
 	}
 }
 
-// heal lets a folder whose history fell off the log take a peer's state.
+// installPeerState makes a replica install the newer state of a peer.
 func (w *stateMachine) installPeerState(t *rapid.T) {
-	i := rapid.IntRange(0, len(w.replicas)-1).Draw(t, "heals")
-	peer := w.replicas[rapid.IntRange(0, len(w.replicas)-1).Draw(t, "from")]
+	i := rapid.IntRange(0, len(w.replicas)-1).Draw(t, "replica")
+	peer := w.replicas[rapid.IntRange(0, len(w.replicas)-1).Draw(t, "peer")]
 	if peer.Position <= w.replicas[i].Position {
 		return
 	}
@@ -189,8 +186,8 @@
 	}
 }
 
-// TestFoldAgreesEverywhere: the same offset means the same state at every
-// process, however it got there; no verdict changes; each command has one effect.
+// Replicas must have the same state at the same position, however they got there; results must not
+// change, and each command must take effect once.
 func TestReplicasAgreeOnStateAtSamePosition(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := &stateMachine{log: &fakeLog{}, hashes: map[storelog.Position]string{}, accepted: map[string]bool{}, savedPosition: storelog.Unknown}
@@ -198,15 +195,15 @@
 			w.replicas = append(w.replicas, NewState())
 		}
 		t.Repeat(map[string]func(*rapid.T){
-			"write": w.write, "write strange": w.writeUnknown, "event": w.event, "fold": w.apply,
-			"snapshot": w.saveSnapshot, "forget": w.truncateLog, "replace": w.replace, "heal": w.installPeerState,
+			"write": w.write, "write unknown": w.writeUnknown, "event": w.event, "fetch and apply": w.apply,
+			"snapshot": w.saveSnapshot, "gc log": w.truncateLog, "replace": w.replace, "install peer state": w.installPeerState,
 		})
 		w.converge(t)
 	})
 }
 
-// converge checks that a change in force is one that was accepted, and took
-// effect at its first record only.
+// converge checks that each current object was set by an accepted change, at the first record of
+// its command.
 func (w *stateMachine) converge(t *rapid.T) {
 	reference := NewState()
 	for _, entry := range w.log.entries {
@@ -216,10 +213,10 @@
 		data := w.log.entries[object.Revision-1].Data
 		record, err := DecodeRecord(data)
 		if err != nil || record.Bundle == nil || !reference.Results[record.Bundle.CommandID].Accepted {
-			t.Fatalf("%s is in force from a record that was not accepted", id)
+			t.Fatalf("%s was set by a change that was not accepted", id)
 		}
 		if first := reference.Results[record.Bundle.CommandID].Offset; first != object.Revision-1 {
-			t.Fatalf("%s took effect again at offset %d; its command was decided at %d", id, object.Revision-1, first)
+			t.Fatalf("%s was set again at offset %d by a command already applied at %d", id, object.Revision-1, first)
 		}
 	}
 	if err := VerifyAudit(reference.Audit); err != nil {
--- a/internal/config/validate.go
+++ b/internal/config/validate.go
@@ -17,7 +17,7 @@
 	"sigs.k8s.io/yaml"
 )
 
-// FieldError names the object and field that is wrong, and how to mend it.
+// FieldError is an invalid field of an object, with a hint how to fix it.
 type FieldError struct {
 	Object string
 	Field  string
@@ -30,7 +30,7 @@
 	return fmt.Sprintf("%s: field %s: value %q: %s", e.Object, e.Field, e.Value, e.Fix)
 }
 
-// ID returns the object's kind and name as Kind/name.
+// ID returns the object's ID, Kind/name.
 func (o *Object) ID() string { return string(o.Kind) + "/" + o.Name }
 
 func (o *Object) fieldError(field string, value any, fix string) error {
@@ -39,8 +39,8 @@
 
 var documentSeparator = regexp.MustCompile(`(?m)^---\s*$`)
 
-// ParseManifest reads YAML or JSON documents separated by `---` lines. Unknown
-// fields are errors. The objects are checked one by one, not against each other.
+// ParseManifest parses YAML or JSON documents separated by `---` lines. Unknown fields are errors.
+// Each object is validated, but references between objects aren't.
 func ParseManifest(data []byte) ([]*Object, error) {
 	var objects []*Object
 	for i, doc := range documentSeparator.Split(string(data), -1) {
@@ -54,7 +54,7 @@
 		objects = append(objects, object)
 	}
 	if len(objects) == 0 {
-		return nil, errors.New("the manifest holds no object: add at least one document with kind and name")
+		return nil, errors.New("the manifest contains no object: add at least one document with kind and name")
 	}
 	return objects, nil
 }
@@ -67,7 +67,7 @@
 	return DecodeObject(asJSON)
 }
 
-// DecodeObject reads one object from JSON and checks it by itself.
+// DecodeObject decodes an object from JSON and validates it.
 func DecodeObject(data []byte) (*Object, error) {
 	var object Object
 	decoder := json.NewDecoder(bytes.NewReader(data))
@@ -81,7 +81,8 @@
 	return &object, nil
 }
 
-// Validate checks the object by itself.
+// Validate validates the object on its own. Like those of State.Check, its error texts become part
+// of the state.
 func (o *Object) Validate() error {
 	if err := o.validateMeta(); err != nil {
 		return err
@@ -154,7 +155,7 @@
 	case KindQuarantine:
 		return o.Quarantine != nil
 	default:
-		return true // validate reports the unknown kind itself
+		return true // Validate reports the unknown kind
 	}
 }
 
@@ -274,10 +275,10 @@
 	return o.validateClass("route.class", r.Class)
 }
 
-// TimeOfDayLayout is how Window.From and Window.To are written.
+// TimeOfDayLayout is the layout of Window.From and Window.To.
 const TimeOfDayLayout = "15:04"
 
-// Weekdays maps the day names of Window.Days.
+// Weekdays maps the day names of Window.Days to weekdays.
 var Weekdays = map[string]time.Weekday{
 	"Sun": time.Sunday, "Mon": time.Monday, "Tue": time.Tuesday, "Wed": time.Wednesday,
 	"Thu": time.Thursday, "Fri": time.Friday, "Sat": time.Saturday,
--- a/internal/config/view.go
+++ b/internal/config/view.go
@@ -7,13 +7,13 @@
 	"github.com/crowbridge/crowbridge/internal/storelog"
 )
 
-// View is an immutable look at the configuration at one offset. It shares its
-// objects with the State it came from; nobody may change them.
+// View is an immutable view of the configuration at a position. It shares its objects with the
+// State; they must not be changed.
 type View struct {
-	// Position up to which the log was folded.
+	// Position is the position of the last applied record.
 	Position storelog.Position
-	// Configured is the offset of the last accepted change: two views with the same
-	// have the same objects.
+	// Configured is the offset of the last accepted change: views with the same value have the same
+	// objects.
 	Configured int64
 
 	objects map[string]*Object
@@ -21,8 +21,8 @@
 	homes   map[string]HomesChange
 }
 
-// View returns an immutable copy. The objects are shared, not copied, and the
-// state clones its table before the next write.
+// View returns an immutable view. It doesn't copy the objects; the State clones its table before
+// the next change.
 func (s *State) View() *View {
 	s.shared = true
 	return &View{
@@ -38,7 +38,7 @@
 	return v.objects[string(kind)+"/"+name]
 }
 
-// List returns the objects of a kind by name.
+// List returns the objects of a kind, sorted by name.
 func (v *View) List(kind Kind) []*Object {
 	prefix := string(kind) + "/"
 	var found []*Object
@@ -57,10 +57,10 @@
 	return run, ok
 }
 
-// Homes returns the last change of where a service's keys live.
+// HomesChange returns the last change of the homes of a service's keys.
 func (v *View) HomesChange(service string) HomesChange { return v.homes[service] }
 
-// Policy returns the deployment-wide settings with defaults filled in.
+// Policy returns the deployment-wide settings with defaults.
 func (v *View) Policy() Policy {
 	object := v.Get(KindPolicy, PolicyName)
 	if object == nil {
