--- a/internal/agent/ratelimit.go
+++ b/internal/agent/ratelimit.go
@@ -19,8 +19,8 @@
 
 // limitRequest returns the properties of a request that its priority under the limit
 // depends on.
-func limitRequest(customer string, class config.Class) ratelimit.Request {
-	return ratelimit.Request{Customer: customer, PriorityGap: enginePriority(class)}
+func limitRequest(customer string, class config.Class) ratelimit.TokenRequest {
+	return ratelimit.TokenRequest{Customer: customer, PriorityGap: enginePriority(class)}
 }
 
 // recordLimit records the rate limit in a response to a request that was sent after
--- a/internal/crash/codec_test.go
+++ b/internal/crash/codec_test.go
@@ -29,12 +29,12 @@
 	}
 	f.Add(future)
 	f.Fuzz(func(t *testing.T, data []byte) {
-		var news peerrpc.CrashNews
-		if proto.Unmarshal(data, &news) != nil {
+		var message peerrpc.CrashNews
+		if proto.Unmarshal(data, &message) != nil {
 			return
 		}
 		table, other := quarantine.NewTable(), quarantine.NewTable()
-		table.Merge(Decode(news.GetEvidence(), now), now)
+		table.Merge(Decode(message.GetEvidence(), now), now)
 		known, _ := table.Since(0)
 		for _, e := range known {
 			if e.ExitedAt.After(now) {
--- a/internal/crash/detector_test.go
+++ b/internal/crash/detector_test.go
@@ -37,28 +37,28 @@
 	logs   *logrustest.Hook
 }
 
-func (w *testEnv) Probe(_ context.Context, server *fleet.Server) Liveness {
-	w.probed = append(w.probed, server.Address)
-	return w.probes[server.Address]
+func (env *testEnv) Probe(_ context.Context, server *fleet.Server) Liveness {
+	env.probed = append(env.probed, server.Address)
+	return env.probes[server.Address]
 }
 
 // advance moves the clock and runs all pending callbacks.
-func (w *testEnv) advance(d time.Duration) {
-	w.now = w.now.Add(d)
-	due := w.timers
-	w.timers = nil
-	for _, f := range due {
+func (env *testEnv) advance(d time.Duration) {
+	env.now = env.now.Add(d)
+	callbacks := env.timers
+	env.timers = nil
+	for _, f := range callbacks {
 		f()
 	}
 }
 
 func newTestDetector() (*testEnv, *Detector) {
-	w := &testEnv{now: time.Unix(1000, 0), probes: map[string]Liveness{}}
+	env := &testEnv{now: time.Unix(1000, 0), probes: map[string]Liveness{}}
 	logger, logs := logrustest.NewNullLogger()
-	w.logs = logs
-	detector := New(w, func() time.Time { return w.now }, func(_ time.Duration, f func()) { w.timers = append(w.timers, f) }, logrus.NewEntry(logger))
+	env.logs = logs
+	detector := New(env, func() time.Time { return env.now }, func(_ time.Duration, f func()) { env.timers = append(env.timers, f) }, logrus.NewEntry(logger))
 	detector.UpdateRegistry(registry())
-	return w, detector
+	return env, detector
 }
 
 var (
@@ -69,11 +69,11 @@
 )
 
 // registry returns all servers except the given ones.
-func registry(but ...*fleet.Server) *fleet.Servers {
+func registry(excluded ...*fleet.Server) *fleet.Servers {
 	var list []*fleet.Server
 next:
 	for _, server := range []*fleet.Server{serverA, serverB, leavingServer, rankServer} {
-		for _, other := range but {
+		for _, other := range excluded {
 			if server == other {
 				continue next
 			}
@@ -84,18 +84,18 @@
 }
 
 var _ = Describe("a server that loses a request's connection", func() {
-	var w *testEnv
+	var env *testEnv
 	var detector *Detector
 	d := quarantine.DigestOf("c", "POST", "h", "/", nil)
 
-	BeforeEach(func() { w, detector = newTestDetector() })
+	BeforeEach(func() { env, detector = newTestDetector() })
 
-	state := func() quarantine.State { return detector.Table().Decision(d, w.now).State }
+	state := func() quarantine.State { return detector.Table().Decision(d, env.now).State }
 	published := func() (evidence []quarantine.Evidence) {
 		for {
 			select {
-			case news := <-detector.Updates():
-				evidence = append(evidence, news...)
+			case batch := <-detector.Updates():
+				evidence = append(evidence, batch...)
 			default:
 				return evidence
 			}
@@ -103,48 +103,48 @@
 	}
 
 	It("is marked as exited when the probe is refused", func() {
-		w.probes[serverA.Address] = Exited
+		env.probes[serverA.Address] = Exited
 		detector.ConnectionLost(d, quarantine.RequestInfo{Customer: "c", Path: "/"}, serverA)
-		w.advance(probeDelay)
+		env.advance(probeDelay)
 		Expect(state()).To(Equal(quarantine.Suspect))
 		Expect(published()).To(HaveLen(1))
-		Expect(w.logs.LastEntry().Message).To(Equal("server exited with requests in progress"))
+		Expect(env.logs.LastEntry().Message).To(Equal("server exited with requests in progress"))
 	})
 
 	It("is probed once for several lost connections", func() {
 		detector.ConnectionLost(d, quarantine.RequestInfo{Customer: "c", Path: "/"}, serverA)
 		detector.ConnectionLost(quarantine.DigestOf("c", "POST", "h", "/other", nil), quarantine.RequestInfo{}, serverA)
-		w.advance(probeDelay)
-		Expect(w.probed).To(HaveLen(1))
+		env.advance(probeDelay)
+		Expect(env.probed).To(HaveLen(1))
 	})
 
 	It("is presumed alive when it listens, until its registration is gone", func() {
-		w.probes[serverA.Address] = Listening
+		env.probes[serverA.Address] = Listening
 		detector.ConnectionLost(d, quarantine.RequestInfo{Customer: "c", Path: "/"}, serverA)
-		w.advance(probeDelay)
+		env.advance(probeDelay)
 		Expect(state()).To(Equal(quarantine.Healthy))
 		detector.UpdateRegistry(registry(serverA))
 		Expect(state()).To(Equal(quarantine.Suspect))
 	})
 
 	It("is marked as exited when it registers with another incarnation", func() {
-		again := *serverA
-		again.Incarnation = "a@7"
+		restarted := *serverA
+		restarted.Incarnation = "a@7"
 		detector.ConnectionLost(d, quarantine.RequestInfo{Customer: "c", Path: "/"}, serverA)
-		detector.UpdateRegistry(fleet.NewServers([]*fleet.Server{&again, serverB, leavingServer, rankServer}))
+		detector.UpdateRegistry(fleet.NewServers([]*fleet.Server{&restarted, serverB, leavingServer, rankServer}))
 		Expect(state()).To(Equal(quarantine.Suspect))
 		Expect(published()).To(HaveLen(1))
 	})
 
 	It("is not probed while it rests, and is no evidence against the request once it reports leaving", func() {
-		bars := map[string]*eligibility.Exclusion{"a": {Reason: eligibility.Resting}}
-		detector.SetExclusions(func(server string) *eligibility.Exclusion { return bars[server] })
+		exclusions := map[string]*eligibility.Exclusion{"a": {Reason: eligibility.Resting}}
+		detector.SetExclusions(func(server string) *eligibility.Exclusion { return exclusions[server] })
 		detector.ConnectionLost(d, quarantine.RequestInfo{Customer: "c", Path: "/"}, serverA)
-		w.advance(probeDelay)
-		Expect(w.probed).To(BeEmpty())
+		env.advance(probeDelay)
+		Expect(env.probed).To(BeEmpty())
 		Expect(state()).To(Equal(quarantine.Healthy))
-		Expect(w.logs.LastEntry().Message).To(ContainSubstring("not probed"))
-		bars["b"] = &eligibility.Exclusion{Reason: eligibility.Leaving}
+		Expect(env.logs.LastEntry().Message).To(ContainSubstring("not probed"))
+		exclusions["b"] = &eligibility.Exclusion{Reason: eligibility.Leaving}
 		detector.ConnectionLost(d, quarantine.RequestInfo{Customer: "c", Path: "/"}, serverB)
 		detector.UpdateRegistry(registry(serverB))
 		Expect(state()).To(Equal(quarantine.Healthy))
@@ -156,33 +156,33 @@
 		detector.UpdateRegistry(registry(serverB))
 		detector.ConnectionLost(d, quarantine.RequestInfo{Customer: "c", Path: "/"}, serverB)
 		detector.UpdateRegistry(registry(serverB, leavingServer))
-		w.advance(probeDelay)
-		Expect(w.probed).To(BeEmpty())
+		env.advance(probeDelay)
+		Expect(env.probed).To(BeEmpty())
 		Expect(published()).To(BeEmpty())
 	})
 
 	It("is marked as exited by its agent's report, without a probe", func() {
 		detector.ConnectionLost(d, quarantine.RequestInfo{Customer: "c", Path: "/"}, rankServer)
-		w.now = w.now.Add(reportDelay)
+		env.now = env.now.Add(reportDelay)
 		detector.SetEngineReachable("r", false)
 		Expect(state()).To(Equal(quarantine.Suspect))
-		w.advance(rankProbeDelay)
-		Expect(w.probed).To(BeEmpty())
+		env.advance(rankProbeDelay)
+		Expect(env.probed).To(BeEmpty())
 	})
 
 	It("is presumed alive when a later report shows its engine reachable, unless it may have restarted", func() {
 		detector.ConnectionLost(d, quarantine.RequestInfo{Customer: "c", Path: "/"}, rankServer)
 		detector.SetEngineReachable("r", true)
 		Expect(state()).To(Equal(quarantine.Suspect), "the report may predate the loss")
-		w.now = w.now.Add(reportDelay)
+		env.now = env.now.Add(reportDelay)
 		detector.SetEngineReachable("r", true)
 		Expect(state()).To(Equal(quarantine.Healthy))
 		detector.ConnectionLost(d, quarantine.RequestInfo{Customer: "c", Path: "/"}, rankServer)
-		w.now = w.now.Add(minRestartTime)
+		env.now = env.now.Add(minRestartTime)
 		detector.SetEngineReachable("r", true)
 		Expect(state()).To(Equal(quarantine.Suspect))
-		w.probes[rankServer.Address] = Exited
-		w.advance(0)
+		env.probes[rankServer.Address] = Exited
+		env.advance(0)
 		Expect(published()).To(HaveLen(1))
 	})
 
@@ -192,15 +192,15 @@
 		detector.ConnectionLost(d, quarantine.RequestInfo{Customer: "c", Path: "/"}, serverA)
 		detector.MarkExited("a", "spec")
 		puller.ApplyDelta("here", detector.Delta(puller.Digest("here")))
-		Expect(puller.Table().Decision(d, w.now).State).To(Equal(quarantine.Suspect))
+		Expect(puller.Table().Decision(d, env.now).State).To(Equal(quarantine.Suspect))
 		detector.ConnectionLost(d, quarantine.RequestInfo{Customer: "c", Path: "/"}, serverB)
 		detector.MarkExited("b", "spec")
-		news := detector.Delta(puller.Digest("here"))
-		Expect(news.GetEvidence()).To(HaveLen(1), "only changed evidence")
-		puller.ApplyDelta("here", news)
-		receiver.MergeEvidence(Decode(Encode(published(), w.now), w.now), "spec")
+		delta := detector.Delta(puller.Digest("here"))
+		Expect(delta.GetEvidence()).To(HaveLen(1), "only changed evidence")
+		puller.ApplyDelta("here", delta)
+		receiver.MergeEvidence(Decode(Encode(published(), env.now), env.now), "spec")
 		for _, other := range []*Detector{puller, receiver} {
-			other.now = func() time.Time { return w.now.Add(time.Second) }
+			other.now = func() time.Time { return env.now.Add(time.Second) }
 			Expect(other.Admit(d).State).To(Equal(quarantine.Quarantined))
 		}
 		Expect(detector.Delta(receiver.Digest("here")).GetEvidence()).To(BeEmpty(), "the tables agree")
@@ -210,26 +210,26 @@
 var _ = Describe("entries with RPC gossip", func() {
 	It("push evidence at once, and pull missed evidence", func() {
 		d := quarantine.DigestOf("c", "POST", "h", "/", nil)
-		w, here := newTestDetector()
-		_, there := newTestDetector()
+		env, local := newTestDetector()
+		_, remote := newTestDetector()
 		mux := http.NewServeMux()
-		calls := peerrpc.NewCrashesServer(RPCServer{Detector: there})
+		calls := peerrpc.NewCrashesServer(RPCServer{Detector: remote})
 		mux.Handle(calls.PathPrefix(), calls)
 		server := httptest.NewServer(mux)
 		DeferCleanup(server.Close)
-		there.ConnectionLost(d, quarantine.RequestInfo{Customer: "c", Path: "/"}, serverB)
-		there.MarkExited("b", "spec") // not published, since no gossip runs here
+		remote.ConnectionLost(d, quarantine.RequestInfo{Customer: "c", Path: "/"}, serverB)
+		remote.MarkExited("b", "spec") // not published, since no gossip runs here
 		ctx, stop := context.WithCancel(context.Background())
 		done := make(chan struct{})
 		go func() {
 			defer close(done)
-			here.Gossip(ctx, []string{strings.TrimPrefix(server.URL, "http://")}, http.DefaultClient)
+			local.Gossip(ctx, []string{strings.TrimPrefix(server.URL, "http://")}, http.DefaultClient)
 		}()
-		here.ConnectionLost(d, quarantine.RequestInfo{Customer: "c", Path: "/"}, serverA)
-		here.MarkExited("a", "spec")
+		local.ConnectionLost(d, quarantine.RequestInfo{Customer: "c", Path: "/"}, serverA)
+		local.MarkExited("a", "spec")
 		both := []string{"a", "b"}
-		for _, detector := range []*Detector{here, there} {
-			Eventually(func() []string { return detector.Table().Decision(d, w.now).Servers }, "10s").Should(Equal(both))
+		for _, detector := range []*Detector{local, remote} {
+			Eventually(func() []string { return detector.Table().Decision(d, env.now).Servers }, "10s").Should(Equal(both))
 		}
 		stop()
 		<-done
@@ -263,14 +263,14 @@
 	d := quarantine.DigestOf("c", "POST", "h", "/", nil)
 
 	It("is persisted for daemons that start later, until an operator ends it", func() {
-		w, detector := newTestDetector()
-		rep, late := replica.New(func() time.Time { return w.now }), replica.New(func() time.Time { return w.now })
+		env, detector := newTestDetector()
+		rep, late := replica.New(func() time.Time { return env.now }), replica.New(func() time.Time { return env.now })
 		log := &fakeLog{replicas: []*replica.Replica{rep, late}, down: true}
-		store := NewStore(detector, rep, log, "entry", func() time.Time { return w.now })
+		store := NewStore(detector, rep, log, "entry", func() time.Time { return env.now })
 		reconcile := func() {
 			for range 3 { // detect, append, apply
 				store.reconcile(context.Background())
-				w.now = w.now.Add(retryInterval)
+				env.now = env.now.Add(retryInterval)
 			}
 		}
 		for _, server := range []string{"a", "b"} {
@@ -289,7 +289,7 @@
 		Expect(object.Quarantine.SinceMs).To(Equal(time.Unix(1000, 0).UnixMilli()))
 
 		_, started := newTestDetector()
-		NewStore(started, late, log, "late", func() time.Time { return w.now }).reconcile(context.Background())
+		NewStore(started, late, log, "late", func() time.Time { return env.now }).reconcile(context.Background())
 		Expect(started.Admit(d).State).To(Equal(quarantine.Quarantined))
 
 		data, err := config.NewChange(&config.Bundle{CommandID: "release", Actor: "ops", Changes: []config.Change{
@@ -304,10 +304,10 @@
 	})
 
 	It("ends at all daemons when later evidence clears the request, and its evidence is kept", func() {
-		w, detector := newTestDetector()
-		rep := replica.New(func() time.Time { return w.now })
+		env, detector := newTestDetector()
+		rep := replica.New(func() time.Time { return env.now })
 		log := &fakeLog{replicas: []*replica.Replica{rep}}
-		wall := func() time.Time { return w.now }
+		wall := func() time.Time { return env.now }
 		store := NewStore(detector, rep, log, "entry", wall)
 		_, other := newTestDetector()
 		other.now = detector.now
@@ -316,50 +316,50 @@
 			for range 3 {
 				store.reconcile(context.Background())
 				otherStore.reconcile(context.Background())
-				w.now = w.now.Add(retryInterval)
+				env.now = env.now.Add(retryInterval)
 			}
 		}
 		for _, server := range []string{"a", "b"} {
 			detector.ConnectionLost(d, quarantine.RequestInfo{}, registry().ByID(server))
 			detector.MarkExited(server, "spec")
 		}
-		w.now = w.now.Add(quarantine.SettleTime)
+		env.now = env.now.Add(quarantine.SettleTime)
 		reconcile()
 		Expect(other.Admit(d).State).To(Equal(quarantine.Quarantined))
 		unrelated := quarantine.DigestOf("c", "POST", "h", "/unrelated", nil)
 		var shared []quarantine.Evidence
 		for _, server := range []string{"a", "b"} {
-			shared = append(shared, quarantine.Evidence{Digest: unrelated, Server: server, ExitedAt: w.now})
+			shared = append(shared, quarantine.Evidence{Digest: unrelated, Server: server, ExitedAt: env.now})
 		}
 		detector.MergeEvidence(shared, "partitioned daemon")
-		w.now = w.now.Add(quarantine.SettleTime)
+		env.now = env.now.Add(quarantine.SettleTime)
 		reconcile()
 		Expect(other.Admit(d).State).To(Equal(quarantine.Healthy), "it has no evidence")
 		Expect(detector.Admit(d).State).To(Equal(quarantine.Suspect))
-		w.now = w.now.Add(2 * endTolerance)
+		env.now = env.now.Add(2 * endTolerance)
 		reconcile()
 		Expect(rep.View().List(config.KindQuarantine)).To(BeEmpty())
-		Expect(detector.Table().Decision(d, w.now).Servers).To(HaveLen(2))
+		Expect(detector.Table().Decision(d, env.now).Servers).To(HaveLen(2))
 	})
 
 	It("is removed from the configuration after its end", func() {
-		w, detector := newTestDetector()
-		rep := replica.New(func() time.Time { return w.now })
+		env, detector := newTestDetector()
+		rep := replica.New(func() time.Time { return env.now })
 		log := &fakeLog{replicas: []*replica.Replica{rep}}
-		store := NewStore(detector, rep, log, "entry", func() time.Time { return w.now })
+		store := NewStore(detector, rep, log, "entry", func() time.Time { return env.now })
 		for _, server := range []string{"a", "b"} {
 			detector.ConnectionLost(d, quarantine.RequestInfo{Customer: "c", Path: "/"}, registry().ByID(server))
 			detector.MarkExited(server, "spec")
 		}
 		for range 3 {
 			store.reconcile(context.Background())
-			w.now = w.now.Add(retryInterval)
+			env.now = env.now.Add(retryInterval)
 		}
 		Expect(rep.View().List(config.KindQuarantine)).To(HaveLen(1))
-		w.now = w.now.Add(time.Hour)
+		env.now = env.now.Add(time.Hour)
 		for range 3 {
 			store.reconcile(context.Background())
-			w.now = w.now.Add(retryInterval)
+			env.now = env.now.Add(retryInterval)
 		}
 		Expect(rep.View().List(config.KindQuarantine)).To(BeEmpty())
 	})
--- a/internal/dispatch/limits.go
+++ b/internal/dispatch/limits.go
@@ -12,8 +12,8 @@
 )
 
 // tokenRequest returns the properties by which a rate limit admits the request.
-func (r *Request) tokenRequest() ratelimit.Request {
-	return ratelimit.Request{Customer: r.Customer, PriorityGap: r.priorityGap, Retry: r.isRetry}
+func (r *Request) tokenRequest() ratelimit.TokenRequest {
+	return ratelimit.TokenRequest{Customer: r.Customer, PriorityGap: r.priorityGap, Retry: r.isRetry}
 }
 
 // observeLimit records the rate limit that a server reports for all VMs together. Limits are
--- a/internal/quarantine/table.go
+++ b/internal/quarantine/table.go
@@ -125,19 +125,18 @@
 }
 
 // ConnectionLost records that the connection to a server failed during an attempt. It reports
-// whether this is the server's only loss without a known cause: the caller then has to probe
-// the server.
-func (t *Table) ConnectionLost(d Digest, info RequestInfo, server string, now time.Time) (only bool) {
+// whether no other loss at the server is unresolved: the caller then has to probe the server.
+func (t *Table) ConnectionLost(d Digest, info RequestInfo, server string, now time.Time) (first bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	only = !t.exitPending(server, now)
+	first = !t.exitPending(server, now)
 	r := t.request(d)
 	r.info = info
 	if r.losses == nil {
 		r.losses = map[string]connectionLoss{}
 	}
 	r.losses[server] = connectionLoss{at: now}
-	return only
+	return first
 }
 
 // ExitPending reports whether connections to a server were lost and it is unknown whether it
--- a/internal/ratelimit/backlog.go
+++ b/internal/ratelimit/backlog.go
@@ -21,7 +21,7 @@
 // request. It returns when the caller should retry: when the first server becomes available,
 // after the callers that were refused earlier. It returns 0 when none of the servers has a
 // limit.
-func (t *Table) RecordRefusal(keys []string, r Request, now time.Time) time.Duration {
+func (t *Table) RecordRefusal(keys []string, r TokenRequest, now time.Time) time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	share, _ := t.peers.share(now)
--- a/internal/ratelimit/fairness.go
+++ b/internal/ratelimit/fairness.go
@@ -13,9 +13,9 @@
 	// activeTime is how long a customer counts as active after its last request, including
 	// refused ones.
 	activeTime = 3 * time.Second
-	// overShareThreshold is the number of requests above the average of the others that puts a
-	// customer over its share.
-	overShareThreshold = 0.5
+	// aboveAverageThreshold is the number of requests above the average of the other active
+	// customers that makes a customer wait longer.
+	aboveAverageThreshold = 0.5
 	// recountInterval is how long the counts of active customers are cached.
 	recountInterval = 100 * time.Millisecond
 	// maxCustomers bounds the tracked customers.
@@ -67,9 +67,9 @@
 	return t.requests * math.Exp2(-now.Sub(t.updatedAt).Seconds()/halfLife(rate).Seconds())
 }
 
-// overShare reports whether the requesting customer has received more than the other active
+// aboveAverage reports whether the requesting customer has received more than the other active
 // customers.
-func (t *customerUsages) overShare(customer uint64, rate float64, now time.Time) bool {
+func (t *customerUsages) aboveAverage(customer uint64, rate float64, now time.Time) bool {
 	own := t.get(customer)
 	own.requestedAt = now
 	t.recount(rate, now)
@@ -77,7 +77,7 @@
 		return false
 	}
 	got := own.decayed(rate, now)
-	return got > (t.total-got)/float64(t.active-1)+overShareThreshold
+	return got > (t.total-got)/float64(t.active-1)+aboveAverageThreshold
 }
 
 // recount refreshes the cached number and total usage of active customers.
--- a/internal/ratelimit/fuzz_test.go
+++ b/internal/ratelimit/fuzz_test.go
@@ -41,8 +41,8 @@
 		// Half of the limit belongs to an unresponsive peer; minRate is the lower bound.
 		seconds := (maxDebt + 3*minBurst) / (minRate * safetyFactor * 0.5)
 		longest := time.Duration(seconds * float64(time.Second))
-		if left := table.Wait("s", Request{}, now); left < 0 || left > longest {
-			t.Fatalf("server is blocked for %v", left)
+		if wait := table.Wait("s", TokenRequest{}, now); wait < 0 || wait > longest {
+			t.Fatalf("server is blocked for %v", wait)
 		}
 	})
 }
--- a/internal/ratelimit/messages.go
+++ b/internal/ratelimit/messages.go
@@ -146,13 +146,13 @@
 		Present: limit.GetNamed(), PerSecond: limit.GetPerSecond(),
 		RequestedAt: now.Add(-age(limit.GetAskedAgeMs()) - maxTransit), ReceivedAt: now.Add(-age(limit.GetHeardAgeMs())),
 	}
-	before, changed := t.updateLimit(limit.GetServer(), received, now)
+	previous, changed := t.updateLimit(limit.GetServer(), received, now)
 	s := t.servers[limit.GetServer()]
 	if s == nil {
 		return Change{}, false
 	}
 	t.mergeCounts(s, sender, limit, wasUnresponsive, now)
-	return Change{Server: limit.GetServer(), Limit: s.limit, Previous: before}, changed
+	return Change{Server: limit.GetServer(), Limit: s.limit, Previous: previous}, changed
 }
 
 // mergeCounts applies a peer's request counts. The first counts from a peer only set the
--- a/internal/ratelimit/reported.go
+++ b/internal/ratelimit/reported.go
@@ -26,17 +26,17 @@
 // supersede returns the limit in force after l was received while before was in force.
 // Responses may overtake each other: l is certainly newer only if its request was sent after
 // the previous response arrived.
-func (l Limit) supersede(before Limit) Limit {
+func (l Limit) supersede(previous Limit) Limit {
 	switch {
-	case l.RequestedAt.After(before.ReceivedAt):
+	case l.RequestedAt.After(previous.ReceivedAt):
 		return l
-	case l.ReceivedAt.Before(before.RequestedAt):
-		return before
-	case l.equal(before) || l.stricterThan(before):
-		l.RequestedAt, l.ReceivedAt = latest(l.RequestedAt, before.RequestedAt), latest(l.ReceivedAt, before.ReceivedAt)
+	case l.ReceivedAt.Before(previous.RequestedAt):
+		return previous
+	case l.equal(previous) || l.stricterThan(previous):
+		l.RequestedAt, l.ReceivedAt = latest(l.RequestedAt, previous.RequestedAt), latest(l.ReceivedAt, previous.ReceivedAt)
 		return l
 	default:
-		return before
+		return previous
 	}
 }
 
--- a/internal/ratelimit/table.go
+++ b/internal/ratelimit/table.go
@@ -16,30 +16,31 @@
 	jitterPerDaemon = 0.04
 	minJitterRange  = 0.1
 	maxJitterRange  = 1.0
-	// The margins are extra tokens that the bucket must hold: overShareMargin for a customer
-	// above its fair share, priorityMargin per priority rank below the highest, up to
-	// maxPriorityGap ranks, and newRequestMargin for a first attempt while refused callers are
-	// due to return. Tokens that no other request takes remain available to these requests.
-	overShareMargin  = 1.0
-	priorityMargin   = 0.1
-	maxPriorityGap   = 3
-	newRequestMargin = 0.2
+	// The margins are extra tokens that the bucket must hold: aboveAverageMargin for a
+	// customer that received more than the other active ones, priorityMargin per rank of
+	// PriorityGap up to maxPriorityGap, and newRequestMargin for a first attempt while refused
+	// callers are due to return. Tokens that no other request takes remain available to these
+	// requests.
+	aboveAverageMargin = 1.0
+	priorityMargin     = 0.1
+	maxPriorityGap     = 3
+	newRequestMargin   = 0.2
 	// retention is how long the limit of an unregistered server incarnation is kept:
 	// registrations may come back.
 	retention = 10 * time.Minute
 )
 
-// Request is a request that is to be sent to a server.
-type Request struct {
+// TokenRequest describes a request that is to be sent to a server.
+type TokenRequest struct {
 	Customer string
-	// PriorityGap is the number of priority ranks below the highest.
+	// PriorityGap is the number of priority ranks below the most urgent one.
 	PriorityGap int
 	// Retry is set when the caller was refused before.
 	Retry bool
 }
 
 // customerHash identifies the customer in messages.
-func (w Request) customerHash() uint64 { return xxhash.Sum64String(w.Customer) }
+func (r TokenRequest) customerHash() uint64 { return xxhash.Sum64String(r.Customer) }
 
 // Table holds the rate limits of servers by incarnation. It is safe for concurrent use; no
 // other lock is taken while its lock is held.
@@ -106,7 +107,7 @@
 
 // UpdateLimit applies a limit that a server reported. It returns the previous limit and
 // whether the limit changed.
-func (t *Table) UpdateLimit(key string, limit Limit) (before Limit, changed bool) {
+func (t *Table) UpdateLimit(key string, limit Limit) (previous Limit, changed bool) {
 	if !limit.Present && !t.Any() {
 		return Limit{}, false
 	}
@@ -116,7 +117,7 @@
 }
 
 // updateLimit applies a reported limit. The caller holds the lock.
-func (t *Table) updateLimit(key string, limit Limit, now time.Time) (before Limit, changed bool) {
+func (t *Table) updateLimit(key string, limit Limit, now time.Time) (previous Limit, changed bool) {
 	s := t.servers[key]
 	if s == nil {
 		if !limit.Present {
@@ -125,24 +126,24 @@
 		s = &server{peers: map[uint64]peerCounts{}, usage: customerUsages{customers: map[uint64]*customerUsage{}}}
 		t.servers[key] = s
 	}
-	before = s.limit
-	s.limit = limit.supersede(before)
-	if s.limit.equal(before) {
-		return before, false
+	previous = s.limit
+	s.limit = limit.supersede(previous)
+	if s.limit.equal(previous) {
+		return previous, false
 	}
 	switch {
 	case !s.limit.Present:
 		t.limited.Add(-1)
 		s.backlog = 0
-	case !before.Present:
+	case !previous.Present:
 		t.limitAdded(now)
 		s.bucket = bucket{updatedAt: now, tokens: -initialDebt}
 		s.drawJitter(t)
-	case s.limit.stricterThan(before):
+	case s.limit.stricterThan(previous):
 		s.bucket.clampAfterDecrease()
 	}
 	t.markDirty(key)
-	return before, true
+	return previous, true
 }
 
 // limitAdded counts a server that received a limit.
@@ -178,13 +179,13 @@
 }
 
 // wait returns how long the request must wait for the server's limit; 0 if it may be sent now.
-func (t *Table) wait(s *server, r Request, now time.Time) time.Duration {
+func (t *Table) wait(s *server, r TokenRequest, now time.Time) time.Duration {
 	share, reachable := t.peers.share(now)
 	rate := s.rate(share)
 	s.bucket.refill(rate, jitterRange(reachable), now)
 	needs := 1 + s.jitter + priorityMargin*float64(min(max(r.PriorityGap, 0), maxPriorityGap))
-	if s.usage.overShare(r.customerHash(), rate, now) {
-		needs += overShareMargin
+	if s.usage.aboveAverage(r.customerHash(), rate, now) {
+		needs += aboveAverageMargin
 	}
 	if !r.Retry && s.currentBacklog(rate, now) >= 1 {
 		needs += newRequestMargin
@@ -201,7 +202,7 @@
 }
 
 // Wait returns how long the request must wait for the server's limit; 0 if it may be sent now.
-func (t *Table) Wait(key string, r Request, now time.Time) time.Duration {
+func (t *Table) Wait(key string, r TokenRequest, now time.Time) time.Duration {
 	if !t.Any() {
 		return 0
 	}
@@ -234,7 +235,7 @@
 
 // Acquire is called just before the first byte of a request is sent. It takes a token and
 // returns 0, or returns how long the request must wait.
-func (t *Table) Acquire(key string, r Request, now time.Time) time.Duration {
+func (t *Table) Acquire(key string, r TokenRequest, now time.Time) time.Duration {
 	if !t.Any() {
 		return 0
 	}
--- a/standins/limitsim/limitsim.go
+++ b/standins/limitsim/limitsim.go
@@ -191,7 +191,7 @@
 
 // request sends one to a server if one takes it, and hears its word.
 func (s *Sim) request(d *Daemon) {
-	want := ratelimit.Request{Customer: s.Customer(s.Random)}
+	want := ratelimit.TokenRequest{Customer: s.Customer(s.Random)}
 	for range looks {
 		server := s.servers[s.Random.IntN(len(s.servers))]
 		if d.Table.Wait(server, want, s.Now) > 0 || d.Table.Acquire(server, want, s.Now) > 0 {
