--- a/internal/crash/codec.go
+++ b/internal/crash/codec.go
@@ -39,7 +39,7 @@
 	if delta == nil {
 		return // the peer keeps no evidence
 	}
-	det.MergeEvidence(Decode(delta.GetEvidence(), det.now()), "peer "+peer)
+	det.Receive(Decode(delta.GetEvidence(), det.now()), "peer "+peer)
 	det.mu.Lock()
 	defer det.mu.Unlock()
 	det.peers[peer] = peerPosition{id: delta.GetTable(), change: delta.GetChange()}
--- a/internal/crash/detector.go
+++ b/internal/crash/detector.go
@@ -109,21 +109,21 @@
 	return det.table.Admit(d, det.now())
 }
 
-// Release implements dispatch.Quarantine.
-func (det *Detector) Release(d quarantine.Digest) { det.table.Release(d) }
+// Done implements dispatch.Quarantine.
+func (det *Detector) Done(d quarantine.Digest) { det.table.Done(d) }
 
-// MarkServed implements dispatch.Quarantine.
-func (det *Detector) MarkServed(d quarantine.Digest) {
-	if cleared := det.table.MarkServed(d); len(cleared) > 0 {
+// RecordSuccess implements dispatch.Quarantine.
+func (det *Detector) RecordSuccess(d quarantine.Digest) {
+	if cleared := det.table.RecordSuccess(d); len(cleared) > 0 {
 		det.log.WithFields(logrus.Fields{"digest": d, "servers": len(cleared)}).Info("request cleared after it completed successfully")
 		det.publish(cleared)
 		det.notifyStore()
 	}
 }
 
-// ConnectionLost implements dispatch.Quarantine. Connections lost at leaving servers are not
+// RecordConnectionLoss implements dispatch.Quarantine. Connections lost at leaving servers are not
 // evidence against the request.
-func (det *Detector) ConnectionLost(d quarantine.Digest, info quarantine.RequestInfo, server *fleet.Server) {
+func (det *Detector) RecordConnectionLoss(d quarantine.Digest, info quarantine.RequestInfo, server *fleet.Server) {
 	if registered := det.registered(server.Key()); registered == nil || det.isLeaving(registered) {
 		return
 	}
@@ -135,7 +135,7 @@
 		det.lastLosses[server.Key()] = now
 		det.mu.Unlock()
 	}
-	if det.table.ConnectionLost(d, info, server.Key(), now) {
+	if det.table.RecordConnectionLoss(d, info, server.Key(), now) {
 		det.afterFunc(delay, func() { det.probe(server) })
 	}
 }
@@ -208,8 +208,8 @@
 // Updates returns the channel of evidence that is to be sent to peers at once.
 func (det *Detector) Updates() <-chan []quarantine.Evidence { return det.updates }
 
-// MergeEvidence merges evidence received from a peer.
-func (det *Detector) MergeEvidence(evidence []quarantine.Evidence, source string) {
+// Receive merges evidence received from a peer.
+func (det *Detector) Receive(evidence []quarantine.Evidence, source string) {
 	added := det.table.Merge(evidence, det.now())
 	if len(added) == 0 {
 		return
--- a/internal/crash/detector_test.go
+++ b/internal/crash/detector_test.go
@@ -104,7 +104,7 @@
 
 	It("is marked as exited when the probe is refused", func() {
 		env.probes[serverA.Address] = Exited
-		detector.ConnectionLost(d, quarantine.RequestInfo{Customer: "c", Path: "/"}, serverA)
+		detector.RecordConnectionLoss(d, quarantine.RequestInfo{Customer: "c", Path: "/"}, serverA)
 		env.advance(probeDelay)
 		Expect(state()).To(Equal(quarantine.Suspect))
 		Expect(published()).To(HaveLen(1))
@@ -112,15 +112,15 @@
 	})
 
 	It("is probed once for several lost connections", func() {
-		detector.ConnectionLost(d, quarantine.RequestInfo{Customer: "c", Path: "/"}, serverA)
-		detector.ConnectionLost(quarantine.DigestOf("c", "POST", "h", "/other", nil), quarantine.RequestInfo{}, serverA)
+		detector.RecordConnectionLoss(d, quarantine.RequestInfo{Customer: "c", Path: "/"}, serverA)
+		detector.RecordConnectionLoss(quarantine.DigestOf("c", "POST", "h", "/other", nil), quarantine.RequestInfo{}, serverA)
 		env.advance(probeDelay)
 		Expect(env.probed).To(HaveLen(1))
 	})
 
 	It("is presumed alive when it listens, until its registration is gone", func() {
 		env.probes[serverA.Address] = Listening
-		detector.ConnectionLost(d, quarantine.RequestInfo{Customer: "c", Path: "/"}, serverA)
+		detector.RecordConnectionLoss(d, quarantine.RequestInfo{Customer: "c", Path: "/"}, serverA)
 		env.advance(probeDelay)
 		Expect(state()).To(Equal(quarantine.Healthy))
 		detector.UpdateRegistry(registry(serverA))
@@ -130,7 +130,7 @@
 	It("is marked as exited when it registers with another incarnation", func() {
 		restarted := *serverA
 		restarted.Incarnation = "a@7"
-		detector.ConnectionLost(d, quarantine.RequestInfo{Customer: "c", Path: "/"}, serverA)
+		detector.RecordConnectionLoss(d, quarantine.RequestInfo{Customer: "c", Path: "/"}, serverA)
 		detector.UpdateRegistry(fleet.NewServers([]*fleet.Server{&restarted, serverB, leavingServer, rankServer}))
 		Expect(state()).To(Equal(quarantine.Suspect))
 		Expect(published()).To(HaveLen(1))
@@ -139,22 +139,22 @@
 	It("is not probed while it rests, and is no evidence against the request once it reports leaving", func() {
 		exclusions := map[string]*eligibility.Exclusion{"a": {Reason: eligibility.Resting}}
 		detector.SetExclusions(func(server string) *eligibility.Exclusion { return exclusions[server] })
-		detector.ConnectionLost(d, quarantine.RequestInfo{Customer: "c", Path: "/"}, serverA)
+		detector.RecordConnectionLoss(d, quarantine.RequestInfo{Customer: "c", Path: "/"}, serverA)
 		env.advance(probeDelay)
 		Expect(env.probed).To(BeEmpty())
 		Expect(state()).To(Equal(quarantine.Healthy))
 		Expect(env.logs.LastEntry().Message).To(ContainSubstring("not probed"))
 		exclusions["b"] = &eligibility.Exclusion{Reason: eligibility.Leaving}
-		detector.ConnectionLost(d, quarantine.RequestInfo{Customer: "c", Path: "/"}, serverB)
+		detector.RecordConnectionLoss(d, quarantine.RequestInfo{Customer: "c", Path: "/"}, serverB)
 		detector.UpdateRegistry(registry(serverB))
 		Expect(state()).To(Equal(quarantine.Healthy))
 		Expect(published()).To(BeEmpty())
 	})
 
 	It("is no evidence against the request when it was leaving or has left", func() {
-		detector.ConnectionLost(d, quarantine.RequestInfo{Customer: "c", Path: "/"}, leavingServer)
+		detector.RecordConnectionLoss(d, quarantine.RequestInfo{Customer: "c", Path: "/"}, leavingServer)
 		detector.UpdateRegistry(registry(serverB))
-		detector.ConnectionLost(d, quarantine.RequestInfo{Customer: "c", Path: "/"}, serverB)
+		detector.RecordConnectionLoss(d, quarantine.RequestInfo{Customer: "c", Path: "/"}, serverB)
 		detector.UpdateRegistry(registry(serverB, leavingServer))
 		env.advance(probeDelay)
 		Expect(env.probed).To(BeEmpty())
@@ -162,7 +162,7 @@
 	})
 
 	It("is marked as exited by its agent's report, without a probe", func() {
-		detector.ConnectionLost(d, quarantine.RequestInfo{Customer: "c", Path: "/"}, rankServer)
+		detector.RecordConnectionLoss(d, quarantine.RequestInfo{Customer: "c", Path: "/"}, rankServer)
 		env.now = env.now.Add(reportDelay)
 		detector.SetEngineReachable("r", false)
 		Expect(state()).To(Equal(quarantine.Suspect))
@@ -171,13 +171,13 @@
 	})
 
 	It("is presumed alive when a later report shows its engine reachable, unless it may have restarted", func() {
-		detector.ConnectionLost(d, quarantine.RequestInfo{Customer: "c", Path: "/"}, rankServer)
+		detector.RecordConnectionLoss(d, quarantine.RequestInfo{Customer: "c", Path: "/"}, rankServer)
 		detector.SetEngineReachable("r", true)
 		Expect(state()).To(Equal(quarantine.Suspect), "the report may predate the loss")
 		env.now = env.now.Add(reportDelay)
 		detector.SetEngineReachable("r", true)
 		Expect(state()).To(Equal(quarantine.Healthy))
-		detector.ConnectionLost(d, quarantine.RequestInfo{Customer: "c", Path: "/"}, rankServer)
+		detector.RecordConnectionLoss(d, quarantine.RequestInfo{Customer: "c", Path: "/"}, rankServer)
 		env.now = env.now.Add(minRestartTime)
 		detector.SetEngineReachable("r", true)
 		Expect(state()).To(Equal(quarantine.Suspect))
@@ -189,16 +189,16 @@
 	It("and another one quarantine the request at all daemons, by pull and by push", func() {
 		_, puller := newTestDetector()
 		_, receiver := newTestDetector()
-		detector.ConnectionLost(d, quarantine.RequestInfo{Customer: "c", Path: "/"}, serverA)
+		detector.RecordConnectionLoss(d, quarantine.RequestInfo{Customer: "c", Path: "/"}, serverA)
 		detector.MarkExited("a", "spec")
 		puller.ApplyDelta("here", detector.Delta(puller.Digest("here")))
 		Expect(puller.Table().Decision(d, env.now).State).To(Equal(quarantine.Suspect))
-		detector.ConnectionLost(d, quarantine.RequestInfo{Customer: "c", Path: "/"}, serverB)
+		detector.RecordConnectionLoss(d, quarantine.RequestInfo{Customer: "c", Path: "/"}, serverB)
 		detector.MarkExited("b", "spec")
 		delta := detector.Delta(puller.Digest("here"))
 		Expect(delta.GetEvidence()).To(HaveLen(1), "only changed evidence")
 		puller.ApplyDelta("here", delta)
-		receiver.MergeEvidence(Decode(Encode(published(), env.now), env.now), "spec")
+		receiver.Receive(Decode(Encode(published(), env.now), env.now), "spec")
 		for _, other := range []*Detector{puller, receiver} {
 			other.now = func() time.Time { return env.now.Add(time.Second) }
 			Expect(other.Admit(d).State).To(Equal(quarantine.Quarantined))
@@ -217,7 +217,7 @@
 		mux.Handle(calls.PathPrefix(), calls)
 		server := httptest.NewServer(mux)
 		DeferCleanup(server.Close)
-		remote.ConnectionLost(d, quarantine.RequestInfo{Customer: "c", Path: "/"}, serverB)
+		remote.RecordConnectionLoss(d, quarantine.RequestInfo{Customer: "c", Path: "/"}, serverB)
 		remote.MarkExited("b", "spec") // not published, since no gossip runs here
 		ctx, stop := context.WithCancel(context.Background())
 		done := make(chan struct{})
@@ -225,7 +225,7 @@
 			defer close(done)
 			local.Gossip(ctx, []string{strings.TrimPrefix(server.URL, "http://")}, http.DefaultClient)
 		}()
-		local.ConnectionLost(d, quarantine.RequestInfo{Customer: "c", Path: "/"}, serverA)
+		local.RecordConnectionLoss(d, quarantine.RequestInfo{Customer: "c", Path: "/"}, serverA)
 		local.MarkExited("a", "spec")
 		both := []string{"a", "b"}
 		for _, detector := range []*Detector{local, remote} {
@@ -274,7 +274,7 @@
 			}
 		}
 		for _, server := range []string{"a", "b"} {
-			detector.ConnectionLost(d, quarantine.RequestInfo{Customer: "c", Path: "/"}, registry().ByID(server))
+			detector.RecordConnectionLoss(d, quarantine.RequestInfo{Customer: "c", Path: "/"}, registry().ByID(server))
 			detector.MarkExited(server, "spec")
 		}
 		reconcile()
@@ -320,7 +320,7 @@
 			}
 		}
 		for _, server := range []string{"a", "b"} {
-			detector.ConnectionLost(d, quarantine.RequestInfo{}, registry().ByID(server))
+			detector.RecordConnectionLoss(d, quarantine.RequestInfo{}, registry().ByID(server))
 			detector.MarkExited(server, "spec")
 		}
 		env.now = env.now.Add(quarantine.SettleTime)
@@ -331,7 +331,7 @@
 		for _, server := range []string{"a", "b"} {
 			shared = append(shared, quarantine.Evidence{Digest: unrelated, Server: server, ExitedAt: env.now})
 		}
-		detector.MergeEvidence(shared, "partitioned daemon")
+		detector.Receive(shared, "partitioned daemon")
 		env.now = env.now.Add(quarantine.SettleTime)
 		reconcile()
 		Expect(other.Admit(d).State).To(Equal(quarantine.Healthy), "it has no evidence")
@@ -348,7 +348,7 @@
 		log := &fakeLog{replicas: []*replica.Replica{rep}}
 		store := NewStore(detector, rep, log, "entry", func() time.Time { return env.now })
 		for _, server := range []string{"a", "b"} {
-			detector.ConnectionLost(d, quarantine.RequestInfo{Customer: "c", Path: "/"}, registry().ByID(server))
+			detector.RecordConnectionLoss(d, quarantine.RequestInfo{Customer: "c", Path: "/"}, registry().ByID(server))
 			detector.MarkExited(server, "spec")
 		}
 		for range 3 {
--- a/internal/crash/gossip.go
+++ b/internal/crash/gossip.go
@@ -22,7 +22,7 @@
 
 // Tell implements peerrpc.Crashes.
 func (s RPCServer) Tell(_ context.Context, t *peerrpc.CrashTelling) (*peerrpc.CrashNews, error) {
-	s.Detector.MergeEvidence(Decode(t.GetEvidence(), s.Detector.now()), "another entry")
+	s.Detector.Receive(Decode(t.GetEvidence(), s.Detector.now()), "another entry")
 	return s.Detector.Delta(t.GetKnown()), nil
 }
 
--- a/internal/dispatch/attempt.go
+++ b/internal/dispatch/attempt.go
@@ -47,7 +47,7 @@
 	if f == nil {
 		p.chooser.RecordSuccess(server.Key(), p.now().Sub(startedAt))
 		if p.quarantineActive() {
-			p.quarantine.MarkServed(x.request.digest())
+			p.quarantine.RecordSuccess(x.request.digest())
 		}
 	}
 	return f
--- a/internal/dispatch/quarantine.go
+++ b/internal/dispatch/quarantine.go
@@ -19,14 +19,14 @@
 	// Empty reports whether no request is under suspicion.
 	Empty() bool
 	// Admit decides whether a request may be sent to a server. A healthy or suspect request
-	// counts as in progress until Release.
+	// counts as in progress until Done.
 	Admit(d quarantine.Digest) quarantine.Decision
-	Release(d quarantine.Digest)
-	// ConnectionLost records that a server's connection was lost during a request, MarkExited
-	// that the server has exited, and MarkServed that the request completed successfully.
-	ConnectionLost(d quarantine.Digest, about quarantine.RequestInfo, server *fleet.Server)
+	Done(d quarantine.Digest)
+	// RecordConnectionLoss records that a server's connection was lost during a request, MarkExited
+	// that the server has exited, and RecordSuccess that the request completed successfully.
+	RecordConnectionLoss(d quarantine.Digest, about quarantine.RequestInfo, server *fleet.Server)
 	MarkExited(server, cause string)
-	MarkServed(d quarantine.Digest)
+	RecordSuccess(d quarantine.Digest)
 }
 
 // SetQuarantine enables the quarantine. It must be called before the first request.
@@ -87,7 +87,7 @@
 func (p *Pipeline) releaseQuarantine(x *exchange) {
 	if x.admitted {
 		x.admitted = false
-		p.quarantine.Release(x.request.digest())
+		p.quarantine.Done(x.request.digest())
 	}
 }
 
@@ -100,7 +100,7 @@
 	x.connectionLost = true
 	countConnectionLost(x)
 	if p.quarantine != nil {
-		p.quarantine.ConnectionLost(x.request.digest(), quarantine.NewRequestInfo(x.request.Customer, x.request.URI), server)
+		p.quarantine.RecordConnectionLoss(x.request.digest(), quarantine.NewRequestInfo(x.request.Customer, x.request.URI), server)
 	}
 }
 
--- a/internal/dispatch/quarantine_test.go
+++ b/internal/dispatch/quarantine_test.go
@@ -40,15 +40,15 @@
 	return v
 }
 
-func (q *fakeQuarantine) Release(quarantine.Digest) { q.released++ }
+func (q *fakeQuarantine) Done(quarantine.Digest) { q.released++ }
 
-func (q *fakeQuarantine) ConnectionLost(_ quarantine.Digest, _ quarantine.RequestInfo, server *fleet.Server) {
+func (q *fakeQuarantine) RecordConnectionLoss(_ quarantine.Digest, _ quarantine.RequestInfo, server *fleet.Server) {
 	q.connectionsLost = append(q.connectionsLost, server.ID)
 }
 
 func (q *fakeQuarantine) MarkExited(server, _ string) { q.exited = append(q.exited, server) }
 
-func (q *fakeQuarantine) MarkServed(quarantine.Digest) { q.served++ }
+func (q *fakeQuarantine) RecordSuccess(quarantine.Digest) { q.served++ }
 
 // refusesConnections is a server whose process has exited.
 func refusesConnections(*Request, Attempt) (*Response, *SendError) {
--- a/internal/platformdaemon/crashgossip.go
+++ b/internal/platformdaemon/crashgossip.go
@@ -74,7 +74,7 @@
 			e.log.WithError(err).Debug("invalid crash evidence datagram")
 			continue
 		}
-		e.crashes.MergeEvidence(crash.Decode(update.GetEvidence(), e.clock.Now()), "entry "+from.String())
+		e.crashes.Receive(crash.Decode(update.GetEvidence(), e.clock.Now()), "entry "+from.String())
 	}
 }
 
--- a/internal/quarantine/table.go
+++ b/internal/quarantine/table.go
@@ -80,7 +80,7 @@
 }
 
 // Admit decides whether a request may be sent to a server now. A healthy or suspect request
-// counts as in progress until Release.
+// counts as in progress until Done.
 func (t *Table) Admit(d Digest, now time.Time) Decision {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -97,8 +97,8 @@
 	return v
 }
 
-// Release ends an attempt that Admit permitted.
-func (t *Table) Release(d Digest) {
+// Done ends an attempt that Admit permitted.
+func (t *Table) Done(d Digest) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	r := t.request(d)
@@ -124,9 +124,9 @@
 	return t.decide(d, r, now)
 }
 
-// ConnectionLost records that the connection to a server failed during an attempt. It reports
+// RecordConnectionLoss records that the connection to a server failed during an attempt. It reports
 // whether no other loss at the server is unresolved: the caller then has to probe the server.
-func (t *Table) ConnectionLost(d Digest, info RequestInfo, server string, now time.Time) (first bool) {
+func (t *Table) RecordConnectionLoss(d Digest, info RequestInfo, server string, now time.Time) (first bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	first = !t.exitPending(server, now)
@@ -233,9 +233,9 @@
 	return h.Sum64()
 }
 
-// MarkServed records that a request completed successfully. It returns the evidence that this
-// clears.
-func (t *Table) MarkServed(d Digest) []Evidence {
+// RecordSuccess records that a request completed successfully. It returns the evidence that
+// this clears.
+func (t *Table) RecordSuccess(d Digest) []Evidence {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	r := t.requests[d]
--- a/internal/quarantine/table_test.go
+++ b/internal/quarantine/table_test.go
@@ -23,7 +23,7 @@
 // exitUnderRequest loses the request's connection to a server that is then found to have
 // exited.
 func exitUnderRequest(t *quarantine.Table, d quarantine.Digest, server string, now time.Time) []quarantine.Evidence {
-	t.ConnectionLost(d, info, server, now)
+	t.RecordConnectionLoss(d, info, server, now)
 	return t.MarkExited(server, now)
 }
 
@@ -52,12 +52,12 @@
 	It("that shares both exits with another is quarantined when the other completes", func() {
 		unrelated, settled := digest(2), start.Add(quarantine.SettleTime)
 		for _, server := range []string{"a", "b"} {
-			table.ConnectionLost(unrelated, info, server, start)
+			table.RecordConnectionLoss(unrelated, info, server, start)
 			exitUnderRequest(table, d, server, start)
 		}
 		Expect(state(settled)).To(Equal(quarantine.Suspect))
 		Expect(table.Decision(unrelated, settled).State).To(Equal(quarantine.Suspect))
-		table.MarkServed(unrelated)
+		table.RecordSuccess(unrelated)
 		Expect(state(settled)).To(Equal(quarantine.Quarantined), "the other request completed")
 		Expect(table.Decision(unrelated, settled).State).To(Equal(quarantine.Healthy))
 	})
@@ -65,7 +65,7 @@
 	It("that shares both exits with another is quarantined alone after a third exit", func() {
 		unrelated, settled := digest(2), start.Add(quarantine.SettleTime)
 		for _, server := range []string{"a", "b"} {
-			table.ConnectionLost(unrelated, info, server, start)
+			table.RecordConnectionLoss(unrelated, info, server, start)
 			exitUnderRequest(table, d, server, start)
 		}
 		exitUnderRequest(table, d, "c", settled)
@@ -75,8 +75,8 @@
 
 	It("that shares one exit, or lost its connection to a live server, is not quarantined", func() {
 		concurrent, survivor := digest(2), digest(3)
-		table.ConnectionLost(concurrent, info, "a", start)
-		table.ConnectionLost(survivor, info, "c", start)
+		table.RecordConnectionLoss(concurrent, info, "a", start)
+		table.RecordConnectionLoss(survivor, info, "c", start)
 		exitUnderRequest(table, d, "a", start)
 		exitUnderRequest(table, d, "b", start.Add(time.Second))
 		table.MarkAlive("c", start)
@@ -86,7 +86,7 @@
 
 	It("that completes is cleared, and needs two more exits", func() {
 		exitUnderRequest(table, d, "a", start)
-		Expect(table.MarkServed(d)).To(HaveLen(1))
+		Expect(table.RecordSuccess(d)).To(HaveLen(1))
 		Expect(state(start)).To(Equal(quarantine.Healthy))
 		Expect(table.Cleared(d, []string{"a"}, start)).To(BeTrue())
 		exitUnderRequest(table, d, "b", start.Add(time.Second))
@@ -94,9 +94,9 @@
 	})
 
 	It("is pending while it is unknown whether a second server exited", func() {
-		table.ConnectionLost(d, info, "a", start)
+		table.RecordConnectionLoss(d, info, "a", start)
 		Expect(state(start)).To(Equal(quarantine.Suspect), "one loss permits a retry")
-		table.ConnectionLost(d, info, "b", start)
+		table.RecordConnectionLoss(d, info, "b", start)
 		Expect(table.Admit(d, start).State).To(Equal(quarantine.Pending))
 		table.MarkAlive("a", start)
 		Expect(state(start)).To(Equal(quarantine.Suspect))
@@ -107,7 +107,7 @@
 		exitUnderRequest(table, d, "a", start)
 		Expect(table.Admit(d, start).State).To(Equal(quarantine.Suspect))
 		Expect(table.Admit(d, start).State).To(Equal(quarantine.Pending))
-		table.Release(d)
+		table.Done(d)
 		Expect(table.Admit(d, start).State).To(Equal(quarantine.Suspect))
 	})
 
@@ -120,7 +120,7 @@
 	})
 
 	It("is not blamed for an exit long after it lost its connection", func() {
-		table.ConnectionLost(d, info, "a", start)
+		table.RecordConnectionLoss(d, info, "a", start)
 		Expect(table.MarkExited("a", start.Add(time.Minute))).To(BeEmpty())
 	})
 
@@ -169,7 +169,7 @@
 		both := []string{"a", "b"}
 		Expect(table.Cleared(d, both, start.Add(time.Minute))).To(BeFalse())
 		Expect(table.Cleared(d, both, start.Add(time.Hour))).To(BeFalse())
-		table.MarkServed(d)
+		table.RecordSuccess(d)
 		Expect(table.Cleared(d, both, start.Add(time.Hour))).To(BeTrue())
 	})
 
@@ -205,7 +205,7 @@
 	other := digest(1)
 	for i, server := range []string{"a", "b"} {
 		at := start.Add(time.Duration(i) * 2 * time.Second)
-		table.ConnectionLost(other, quarantine.RequestInfo{Customer: "other"}, server, at)
+		table.RecordConnectionLoss(other, quarantine.RequestInfo{Customer: "other"}, server, at)
 		table.MarkExited(server, at)
 	}
 	for i := range 9000 {
@@ -245,7 +245,7 @@
 					pool = append(pool, e)
 				}
 			case 2:
-				pool = append(pool, table.MarkServed(d)...)
+				pool = append(pool, table.RecordSuccess(d)...)
 			case 3:
 				if len(pool) > 0 {
 					table.Merge(pool[:rapid.IntRange(1, len(pool)).Draw(t, "heard")], now)
--- a/standins/bench/quarantine.go
+++ b/standins/bench/quarantine.go
@@ -35,7 +35,7 @@
 	now := time.Now()
 	for i := range 5000 {
 		d := quarantine.DigestOf("c", "POST", "h", "/", fmt.Append(nil, i))
-		t.ConnectionLost(d, quarantine.RequestInfo{}, "s", now)
+		t.RecordConnectionLoss(d, quarantine.RequestInfo{}, "s", now)
 		t.MarkExited("s", now)
 	}
 	return t
@@ -51,8 +51,8 @@
 			}
 			d := quarantine.DigestOf("c", "POST", "h", "/", body)
 			t.Admit(d, now)
-			t.Release(d)
-			t.MarkServed(d)
+			t.Done(d)
+			t.RecordSuccess(d)
 		}
 	})
 	return float64(result.NsPerOp())
@@ -110,7 +110,7 @@
 			ended++
 			openAt = now.Add(groupAway)
 			news = append(news, endRank(tables, table, d, fmt.Sprint("r", random.IntN(ranks), "-", ended), ended, now))
-			table.Release(d)
+			table.Done(d)
 		}
 		for beside := range playedBeside { // those that ran at the last rank come again
 			sound++
@@ -131,9 +131,9 @@
 
 // endRank cuts off what runs at a rank: a guilty request at one entry, sound ones at all.
 func endRank(tables []*quarantine.Table, at *quarantine.Table, guilty quarantine.Digest, server string, end int, now time.Time) playedNews {
-	at.ConnectionLost(guilty, quarantine.RequestInfo{}, server, now)
+	at.RecordConnectionLoss(guilty, quarantine.RequestInfo{}, server, now)
 	for beside := range playedBeside {
-		tables[beside%len(tables)].ConnectionLost(soundDigest(end, beside), quarantine.RequestInfo{}, server, now)
+		tables[beside%len(tables)].RecordConnectionLoss(soundDigest(end, beside), quarantine.RequestInfo{}, server, now)
 	}
 	found := playedNews{at: now.Add(foundAfter + toldAfter)}
 	for _, table := range tables {
