--- a/internal/entry/admin.go
+++ b/internal/entry/admin.go
@@ -19,7 +19,7 @@
 	var list []*rpc.ServerStatus
 	for name, row := range e.table.Rows() {
 		state := row.Health.String()
-		switch exclusion := row.Notice.Exclusion(now); {
+		switch exclusion := row.SelfReport.Exclusion(now); {
 		case row.Server.Spec.Draining:
 			state = "draining"
 		case exclusion != nil:
@@ -68,7 +68,7 @@
 	if row == nil {
 		return "not in the routing table yet"
 	}
-	exclusion := row.Notice.Exclusion(e.now())
+	exclusion := row.SelfReport.Exclusion(e.now())
 	switch {
 	case e.picker.Eligible(e.now(), row):
 		return ""
--- a/internal/entry/chooser.go
+++ b/internal/entry/chooser.go
@@ -41,7 +41,7 @@
 	var exclusions eligibility.Exclusions
 	for _, server := range exchangeOf(r).route.Servers {
 		if row := c.entry.table.Row(server.Name); row != nil {
-			exclusions.Add(row.Notice.Exclusion(now))
+			exclusions.Add(row.SelfReport.Exclusion(now))
 		}
 	}
 	return exclusions.EarliestEnd()
@@ -55,7 +55,7 @@
 	if row == nil {
 		return 0, false
 	}
-	return row.Notice.RecordRest(info.RetryAfter, now), false // agents report leaving in their load
+	return row.SelfReport.RecordRest(info.RetryAfter, now), false // agents report leaving in their load
 }
 
 // Exclusion implements dispatch.Chooser.
@@ -63,7 +63,7 @@
 	c.entry.mu.Lock()
 	defer c.entry.mu.Unlock()
 	if row := c.entry.table.Row(server); row != nil {
-		return row.Notice.Exclusion(now)
+		return row.SelfReport.Exclusion(now)
 	}
 	return nil
 }
--- a/internal/routing/affinity.go
+++ b/internal/routing/affinity.go
@@ -1,38 +1,38 @@
 package routing
 
-// affinity remembers which server last took a prompt prefix. It is a hint: the
-// engine may have dropped the prefix, and cache events arrive late or not at
-// all. A fixed-size table without chains bounds its memory.
+// affinity records which server was last picked for a prompt prefix. It is a hint: the
+// engine may have evicted the prefix. A fixed-size table, in which collisions overwrite,
+// bounds its memory.
 type affinity struct {
-	slots []affinitySlot
+	entries []affinityEntry
 }
 
-type affinitySlot struct {
+type affinityEntry struct {
 	prefix uint64
 	server string
 }
 
-// affinitySlots is the number of prefixes remembered, a power of two.
-const affinitySlots = 1 << 14
+// affinityEntries is the size of the table.
+const affinityEntries = 1 << 14
 
 func newAffinity() *affinity {
-	return &affinity{slots: make([]affinitySlot, affinitySlots)}
+	return &affinity{entries: make([]affinityEntry, affinityEntries)}
 }
 
 func (a *affinity) server(prefix uint64) string {
 	if prefix == 0 {
 		return ""
 	}
-	slot := a.slots[prefix%affinitySlots]
-	if slot.prefix != prefix {
+	entry := a.entries[prefix%affinityEntries]
+	if entry.prefix != prefix {
 		return ""
 	}
-	return slot.server
+	return entry.server
 }
 
 func (a *affinity) remember(prefix uint64, server string) {
 	if prefix == 0 {
 		return
 	}
-	a.slots[prefix%affinitySlots] = affinitySlot{prefix: prefix, server: server}
+	a.entries[prefix%affinityEntries] = affinityEntry{prefix: prefix, server: server}
 }
--- a/internal/routing/budget.go
+++ b/internal/routing/budget.go
@@ -1,39 +1,40 @@
 package routing
 
-// RetryBudget lets each customer retry a percentage of its requests, so that
-// retries can't multiply an overload. Not safe for concurrent use.
+// RetryBudget limits each customer's retries to a percentage of its requests, so that
+// retries don't amplify an overload. Not safe for concurrent use.
 type RetryBudget struct {
-	percent float64
-	tokens  map[string]float64
+	ratio  float64
+	tokens map[string]float64
 }
 
-// burstRetries is how many retries a customer may save up.
-const burstRetries = 10.0
+// maxSavedRetries is the initial and the maximum number of retries that a customer may use
+// at once.
+const maxSavedRetries = 10.0
 
-// maxBudgets bounds how many customers' balances are held.
-const maxBudgets = 16384
+// maxCustomers bounds the number of customers tracked.
+const maxCustomers = 16384
 
 // NewRetryBudget returns a budget of percent retries per hundred requests.
 func NewRetryBudget(percent int) *RetryBudget {
-	return &RetryBudget{percent: float64(percent) / 100, tokens: map[string]float64{}}
+	return &RetryBudget{ratio: float64(percent) / 100, tokens: map[string]float64{}}
 }
 
-// SetPercent changes the budget's rate.
-func (b *RetryBudget) SetPercent(percent int) { b.percent = float64(percent) / 100 }
+// SetPercent changes the retries allowed per hundred requests.
+func (b *RetryBudget) SetPercent(percent int) { b.ratio = float64(percent) / 100 }
 
-// RecordRequest earns the customer a part of a retry.
+// RecordRequest adds a request's share to the customer's budget.
 func (b *RetryBudget) RecordRequest(customer string) {
 	tokens, known := b.tokens[customer]
 	if !known {
-		if len(b.tokens) >= maxBudgets {
+		if len(b.tokens) >= maxCustomers {
 			clear(b.tokens)
 		}
-		tokens = burstRetries
+		tokens = maxSavedRetries
 	}
-	b.tokens[customer] = min(tokens+b.percent, burstRetries)
+	b.tokens[customer] = min(tokens+b.ratio, maxSavedRetries)
 }
 
-// Acquire spends one retry; false means that the budget is used up.
+// Acquire takes one retry from the budget. It reports whether one was available.
 func (b *RetryBudget) Acquire(customer string) bool {
 	if b.tokens[customer] < 1 {
 		return false
@@ -42,9 +43,9 @@
 	return true
 }
 
-// Release gives a retry back that was spent and not made.
+// Release returns an acquired retry that was not made.
 func (b *RetryBudget) Release(customer string) {
 	if _, known := b.tokens[customer]; known {
-		b.tokens[customer] = min(b.tokens[customer]+1, burstRetries)
+		b.tokens[customer] = min(b.tokens[customer]+1, maxSavedRetries)
 	}
 }
--- a/internal/routing/health.go
+++ b/internal/routing/health.go
@@ -2,9 +2,8 @@
 
 import "time"
 
-// HealthFilter leaves out servers that are leaving, and servers that could not
-// be reached until their back-off ends. One request after the back-off tries
-// such a server again.
+// HealthFilter excludes servers that are leaving, and unreachable servers until their
+// back-off ends.
 type HealthFilter struct{}
 
 // Allow implements Filter.
@@ -21,8 +20,8 @@
 	}
 }
 
-// DrainFilter leaves out servers that an operator drains, and those that
-// the platform's list calls leaving.
+// DrainFilter excludes servers that an operator drains and servers that are leaving
+// according to the platform's VM list.
 type DrainFilter struct{}
 
 // Allow implements Filter.
@@ -30,16 +29,16 @@
 	return !row.Server.Spec.Draining && !row.ListedLeaving
 }
 
-// NoticeFilter leaves out servers that want no requests by their own word.
-type NoticeFilter struct{}
+// ExclusionFilter excludes servers that reported a rest or that they are leaving.
+type ExclusionFilter struct{}
 
 // Allow implements Filter.
-func (NoticeFilter) Allow(now time.Time, row *ServerState) bool {
-	return row.Notice.Exclusion(now) == nil
+func (ExclusionFilter) Allow(now time.Time, row *ServerState) bool {
+	return row.SelfReport.Exclusion(now) == nil
 }
 
-// OutlierFilter leaves out servers that are ejected for their errors. It's not
-// applied when it would leave out all.
+// OutlierFilter excludes servers that are ejected because of errors. The picker ignores it
+// when no other server is left.
 type OutlierFilter struct{}
 
 // Allow implements Filter.
@@ -47,15 +46,15 @@
 	return !now.Before(row.EjectedUntil)
 }
 
-// GroupFilter leaves out a group while one of its ranks takes no requests: the
-// others can't step without it.
+// GroupFilter excludes a group while one of its ranks is unavailable, since the other ranks
+// can't run without it.
 type GroupFilter struct {
-	// Table knows the groups' ranks.
+	// Table counts the unavailable ranks of each group.
 	Table *Table
 }
 
 // Allow implements Filter.
 func (g GroupFilter) Allow(_ time.Time, row *ServerState) bool {
 	group := row.Server.Spec.Group
-	return group == "" || g.Table.lost[group] == 0
+	return group == "" || g.Table.unavailable[group] == 0
 }
--- a/internal/routing/pick.go
+++ b/internal/routing/pick.go
@@ -7,37 +7,38 @@
 	"github.com/crowbridge/crowbridge/internal/selector"
 )
 
-// Query is one routing decision to make.
+// Query describes a request to route.
 type Query struct {
-	// Candidates are the servers that the route allows, those of a zone adjacent.
+	// Candidates are the servers that the route allows, sorted by zone and name.
 	Candidates []*selector.Server
 	// Prefix is the hash of the prompt's prefix, or 0.
 	Prefix uint64
-	// Tried names servers that this request must not go to again.
+	// Tried names servers that the request must not be sent to again.
 	Tried []string
 }
 
-// Filter decides whether a server may take the request at all.
+// Filter decides whether a server is eligible.
 type Filter interface {
-	// Allow tells whether the row passes.
+	// Allow reports whether the server is eligible.
 	Allow(now time.Time, row *ServerState) bool
 }
 
-// Scorer rates a server that passed the filters; lower is better. Scores are
-// expected waiting times in units of one service time.
+// Scorer scores an eligible server. Scores are expected waiting times in units of one
+// service time, so lower is better.
 type Scorer interface {
-	// Score rates the row.
+	// Score returns the server's score.
 	Score(now time.Time, row *ServerState) float64
 }
 
 const (
-	// samplesPerZone is the number of random choices in the own zone and outside it.
+	// samplesPerZone is the number of eligible servers sampled from the own zone, and again
+	// from all zones.
 	samplesPerZone = 2
-	// sampleAttempts bounds the draws until the servers are scanned instead.
+	// sampleAttempts bounds the random draws per sample.
 	sampleAttempts = 8
 )
 
-// Picker combines filters and scorers over a table.
+// Picker picks servers from a table by filters and scorers.
 type Picker struct {
 	table   *Table
 	filters []Filter
@@ -45,48 +46,47 @@
 	scorers []Scorer
 }
 
-// NewPicker returns the picker that entries use.
+// NewPicker returns a picker with the default filters and scorers.
 func NewPicker(table *Table) *Picker {
 	return &Picker{
 		table:   table,
-		filters: []Filter{HealthFilter{}, DrainFilter{}, NoticeFilter{}, GroupFilter{Table: table}},
+		filters: []Filter{HealthFilter{}, DrainFilter{}, ExclusionFilter{}, GroupFilter{Table: table}},
 		outlier: OutlierFilter{},
 		scorers: []Scorer{LoadScorer{}, ZoneScorer{Zone: table.zone}},
 	}
 }
 
-// Pick returns the name of the chosen server, or "" when none may take the
-// request. It samples two servers of the own zone, two of all, and the one that
-// probably caches the prompt's prefix, and takes the best: constant work
-// however many servers there are. Only when sampling finds nothing are all
-// servers scanned, the ejected ones last.
+// Pick returns the name of the chosen server, or "" if none is eligible. It takes the best
+// of two random servers of the own zone, two of all zones and the one that probably caches
+// the prompt's prefix, which is constant work regardless of the number of servers. If none
+// of them is eligible, it scans all servers, and then again including ejected ones.
 func (p *Picker) Pick(now time.Time, random *rand.Rand, q Query) string {
 	own := p.ownZone(q.Candidates)
 	best := choice{}
 	p.sample(now, random, own, q, &best)
 	p.sample(now, random, q.Candidates, q, &best)
-	p.consider(now, p.table.hints.server(q.Prefix), q, affinityBonus, &best)
+	p.consider(now, p.table.affinity.server(q.Prefix), q, affinityBonus, &best)
 	if best.row == nil {
 		p.scan(now, q, p.Eligible, &best)
 	}
 	if best.row == nil {
-		p.scan(now, q, p.allowedOutlier, &best)
+		p.scan(now, q, p.eligibleIgnoringEjection, &best)
 	}
 	if best.row == nil {
 		return ""
 	}
-	p.table.hints.remember(q.Prefix, best.row.Server.Name)
+	p.table.affinity.remember(q.Prefix, best.row.Server.Name)
 	return best.row.Server.Name
 }
 
+// choice is the best server so far.
 type choice struct {
 	row   *ServerState
 	score float64
 }
 
-// affinityBonus is what a cached prefix is worth, in service times. It bounds
-// the load that affinity may pile on one server: a server that is this much
-// worse than its peers loses the request in spite of its cache.
+// affinityBonus is the score advantage of a cached prefix, in service times. It bounds the
+// extra load that affinity may put on one server.
 const affinityBonus = 0.5
 
 func (p *Picker) sample(now time.Time, random *rand.Rand, candidates []*selector.Server, q Query, best *choice) {
@@ -109,7 +109,7 @@
 	for _, server := range q.Candidates {
 		row := p.table.rows[server.Name]
 		if row != nil && !tried(q, row) && allowed(now, row) {
-			p.rate(now, row, 0, best)
+			p.offer(now, row, 0, best)
 		}
 	}
 }
@@ -122,12 +122,12 @@
 	if bonus > 0 && !contains(q.Candidates, row.Server) {
 		return false
 	}
-	p.rate(now, row, bonus, best)
+	p.offer(now, row, bonus, best)
 	return true
 }
 
-// rate keeps the row when it's better than the best so far.
-func (p *Picker) rate(now time.Time, row *ServerState, bonus float64, best *choice) {
+// offer replaces best if the row has a better score.
+func (p *Picker) offer(now time.Time, row *ServerState, bonus float64, best *choice) {
 	score := -bonus
 	for _, scorer := range p.scorers {
 		score += scorer.Score(now, row)
@@ -146,19 +146,19 @@
 	return false
 }
 
-// contains searches the candidates, which are ordered by zone and name.
+// contains reports whether the candidates, sorted by zone and name, include the server.
 func contains(candidates []*selector.Server, server *selector.Server) bool {
-	at := lowerBound(candidates, server.Spec.Zone, server.Name)
-	return at < len(candidates) && candidates[at].Name == server.Name
+	index := lowerBound(candidates, server.Spec.Zone, server.Name)
+	return index < len(candidates) && candidates[index].Name == server.Name
 }
 
-// Eligible tells whether a server passes all filters.
+// Eligible reports whether a server passes all filters.
 func (p *Picker) Eligible(now time.Time, row *ServerState) bool {
-	return p.outlier.Allow(now, row) && p.allowedOutlier(now, row)
+	return p.outlier.Allow(now, row) && p.eligibleIgnoringEjection(now, row)
 }
 
-// allowedOutlier tells whether a server passes the filters that always hold.
-func (p *Picker) allowedOutlier(now time.Time, row *ServerState) bool {
+// eligibleIgnoringEjection reports whether a server passes all filters except OutlierFilter.
+func (p *Picker) eligibleIgnoringEjection(now time.Time, row *ServerState) bool {
 	for _, filter := range p.filters {
 		if !filter.Allow(now, row) {
 			return false
@@ -167,7 +167,7 @@
 	return true
 }
 
-// ownZone returns the adjacent candidates that are in the entry's zone.
+// ownZone returns the subslice of candidates in the entry's zone.
 func (p *Picker) ownZone(candidates []*selector.Server) []*selector.Server {
 	from := lowerBound(candidates, p.table.zone, "")
 	to := from
@@ -179,15 +179,15 @@
 	return candidates[from:to]
 }
 
-// lowerBound returns the place of the first candidate at or after zone and name.
+// lowerBound returns the index of the first candidate at or after zone and name.
 func lowerBound(candidates []*selector.Server, zone, name string) int {
 	low, high := 0, len(candidates)
 	for low < high {
-		middle := (low + high) / 2
-		if before(candidates[middle], zone, name) {
-			low = middle + 1
+		mid := (low + high) / 2
+		if before(candidates[mid], zone, name) {
+			low = mid + 1
 		} else {
-			high = middle
+			high = mid
 		}
 	}
 	return low
--- a/internal/routing/rendezvous.go
+++ b/internal/routing/rendezvous.go
@@ -7,10 +7,10 @@
 	"github.com/crowbridge/crowbridge/internal/selector"
 )
 
-// OrderHomes orders the candidates for an idempotency key by rendezvous hashing:
-// every entry with the same configuration computes the same order, and adding
-// or removing a server moves only that server's keys. The first is the key's
-// home; a later one is used only for a key that each home before it has closed.
+// OrderHomes orders the candidates for an idempotency key by rendezvous hashing: entries
+// with the same configuration compute the same order, and adding or removing a server moves
+// only that server's keys. The first server is the key's home. A later one is used only if
+// all servers before it have closed the key.
 func OrderHomes(candidates []*selector.Server, customer, key string) []*selector.Server {
 	type weighted struct {
 		server *selector.Server
@@ -21,7 +21,7 @@
 		var digest xxhash.Digest
 		digest.Reset()
 		for _, part := range []string{customer, "\x00", key, "\x00", server.Name} {
-			_, _ = digest.WriteString(part) // documented to never fail
+			_, _ = digest.WriteString(part) // never fails
 		}
 		ordered = append(ordered, weighted{server: server, weight: digest.Sum64()})
 	}
--- a/internal/routing/routing_test.go
+++ b/internal/routing/routing_test.go
@@ -20,8 +20,8 @@
 
 var start = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// fleet returns n servers per zone, in the order that routes keep.
-func fleet(zones []string, n int) []*selector.Server {
+// newServers returns n servers per zone, sorted by zone and name.
+func newServers(zones []string, n int) []*selector.Server {
 	var servers []*selector.Server
 	for _, zone := range zones {
 		for i := range n {
@@ -34,7 +34,7 @@
 	return servers
 }
 
-func tableOf(servers []*selector.Server) *Table {
+func newSyncedTable(servers []*selector.Server) *Table {
 	table := NewTable("a")
 	byName := map[string]*selector.Server{}
 	for _, s := range servers {
@@ -49,8 +49,8 @@
 
 func newRandom() *rand.Rand { return rand.New(rand.NewPCG(1, 2)) }
 
-// spread picks n times without any report coming in, and counts per server.
-func spread(table *Table, servers []*selector.Server, n int) map[string]int {
+// pickAndCount picks n times without new reports and returns the picks per server.
+func pickAndCount(table *Table, servers []*selector.Server, n int) map[string]int {
 	picker, random := NewPicker(table), newRandom()
 	counts := map[string]int{}
 	for range n {
@@ -61,15 +61,15 @@
 	return counts
 }
 
-var _ = Describe("the picker", func() {
-	It("stays in its zone while that isn't busier, then spills over", func() {
-		servers := fleet([]string{"a", "b"}, 4)
-		table := tableOf(servers)
-		counts := spread(table, servers, 16)
+var _ = Describe("Picker", func() {
+	It("prefers its own zone until that is busier", func() {
+		servers := newServers([]string{"a", "b"}, 4)
+		table := newSyncedTable(servers)
+		counts := pickAndCount(table, servers, 16)
 		for name := range counts {
 			Expect(name).To(HavePrefix("a-"))
 		}
-		counts = spread(table, servers, 200)
+		counts = pickAndCount(table, servers, 200)
 		outside := 0
 		for name, n := range counts {
 			if name[0] == 'b' {
@@ -79,17 +79,17 @@
 		Expect(outside).To(BeNumerically(">", 60))
 	})
 
-	It("counts its own requests on top of stale reports", func() {
-		servers := fleet([]string{"a"}, 4)
-		counts := spread(tableOf(servers), servers, 400)
+	It("adds own requests to stale reports", func() {
+		servers := newServers([]string{"a"}, 4)
+		counts := pickAndCount(newSyncedTable(servers), servers, 400)
 		for _, server := range servers {
 			Expect(counts[server.Name]).To(BeNumerically("~", 100, 15))
 		}
 	})
 
-	It("gives a straggler less, but something", func() {
-		servers := fleet([]string{"a"}, 4)
-		table := tableOf(servers)
+	It("sends fewer requests to a slow server, but some", func() {
+		servers := newServers([]string{"a"}, 4)
+		table := newSyncedTable(servers)
 		for range 200 {
 			for i, s := range servers {
 				took := 10 * time.Millisecond
@@ -99,14 +99,14 @@
 				table.UpdateLoad(start, s.Name, "1", wire.Load{Limit: 8, ServiceTime: took})
 			}
 		}
-		counts := spread(table, servers, 400)
+		counts := pickAndCount(table, servers, 400)
 		Expect(counts["a-0000"]).To(BeNumerically("<", 50))
 		Expect(counts["a-0000"]).To(BeNumerically(">", 0))
 	})
 
-	It("keeps a prefix at its server until that is clearly busier", func() {
-		servers := fleet([]string{"a"}, 8)
-		table := tableOf(servers)
+	It("sends a prefix to the same server until that is clearly busier", func() {
+		servers := newServers([]string{"a"}, 8)
+		table := newSyncedTable(servers)
 		picker, random := NewPicker(table), newRandom()
 		first := picker.Pick(start, random, Query{Candidates: servers, Prefix: 7})
 		same := 0
@@ -122,9 +122,9 @@
 		Expect(picker.Pick(start, random, Query{Candidates: servers, Prefix: 7})).NotTo(Equal(first))
 	})
 
-	It("never picks a leaving, drained, listed or tried server, and finds the last one", func() {
-		servers := fleet([]string{"a"}, 40)
-		table := tableOf(servers)
+	It("picks every eligible server before giving up, and no ineligible or tried one", func() {
+		servers := newServers([]string{"a"}, 40)
+		table := newSyncedTable(servers)
 		for i, s := range servers {
 			switch i % 4 {
 			case 0:
@@ -147,21 +147,21 @@
 	})
 })
 
-var _ = Describe("the table", func() {
-	It("lets only another incarnation end a server's leaving", func() {
-		servers := fleet([]string{"a"}, 1)
-		table := tableOf(servers)
+var _ = Describe("Table", func() {
+	It("clears leaving only for another incarnation", func() {
+		servers := newServers([]string{"a"}, 1)
+		table := newSyncedTable(servers)
 		name := servers[0].Name
 		table.UpdateLoad(start, name, "1", wire.Load{Leaving: true})
-		table.UpdateLoad(start, name, "1", wire.Load{}) // an answer that was late
+		table.UpdateLoad(start, name, "1", wire.Load{}) // a late report
 		Expect(table.Row(name).Health).To(Equal(HealthLeaving))
 		table.UpdateLoad(start, name, "2", wire.Load{})
 		Expect(table.Row(name).Health).To(Equal(HealthUp))
 	})
 
-	It("leaves a lost server alone for a time that grows, and tries it again", func() {
-		servers := fleet([]string{"a"}, 1)
-		table := tableOf(servers)
+	It("backs off from an unreachable server and retries it", func() {
+		servers := newServers([]string{"a"}, 1)
+		table := newSyncedTable(servers)
 		picker, random := NewPicker(table), newRandom()
 		name := servers[0].Name
 		table.RecordUnreachable(start, name)
@@ -173,18 +173,18 @@
 		Expect(picker.Pick(start.Add(maxBackoff), random, Query{Candidates: servers})).To(Equal(name))
 	})
 
-	It("forgets servers that are no longer configured", func() {
-		servers := fleet([]string{"a"}, 2)
-		table := tableOf(servers)
+	It("removes servers that are no longer configured", func() {
+		servers := newServers([]string{"a"}, 2)
+		table := newSyncedTable(servers)
 		table.Sync(map[string]*selector.Server{servers[0].Name: servers[0]})
 		Expect(table.Rows()).To(HaveLen(1))
 	})
 })
 
 var _ = Describe("outlier detection", func() {
-	It("leaves a server alone that fails fast, although its agent reports no load", func() {
-		servers := fleet([]string{"a"}, 4)
-		table := tableOf(servers)
+	It("ejects a failing server although its agent reports no load", func() {
+		servers := newServers([]string{"a"}, 4)
+		table := newSyncedTable(servers)
 		picker, random := NewPicker(table), newRandom()
 		for range 3 {
 			table.RecordError(start, "a-0000")
@@ -198,19 +198,19 @@
 		Expect(picker.Eligible(start, table.Row("a-0000"))).To(BeTrue())
 	})
 
-	It("never ejects everyone", func() {
-		servers := fleet([]string{"a"}, 3)
-		table := tableOf(servers)
+	It("picks an ejected server if all are ejected", func() {
+		servers := newServers([]string{"a"}, 3)
+		table := newSyncedTable(servers)
 		for _, s := range servers {
 			table.RecordError(start, s.Name)
 		}
 		Expect(NewPicker(table).Pick(start, newRandom(), Query{Candidates: servers})).NotTo(BeEmpty())
 	})
 
-	It("takes a group out while one of its ranks is gone", func() {
-		servers := fleet([]string{"a"}, 4)
+	It("excludes a group while one of its ranks is unavailable", func() {
+		servers := newServers([]string{"a"}, 4)
 		servers[0].Spec.Group, servers[1].Spec.Group = "g", "g"
-		table := tableOf(servers)
+		table := newSyncedTable(servers)
 		table.RecordUnreachable(start, servers[0].Name)
 		picker, random := NewPicker(table), newRandom()
 		for range 100 {
@@ -223,8 +223,8 @@
 })
 
 var _ = Describe("polling", func() {
-	It("asks every server, those that never reported first, the own zone more often", func() {
-		servers := fleet([]string{"a", "b"}, 10)
+	It("polls every server, the own zone more often", func() {
+		servers := newServers([]string{"a", "b"}, 10)
 		table := NewTable("a")
 		byName := map[string]*selector.Server{}
 		for _, s := range servers {
@@ -244,15 +244,15 @@
 		Expect(polls["a-0003"]).To(BeNumerically(">", 2*polls["b-0003"]))
 	})
 
-	It("leaves servers alone whose report is fresh", func() {
-		table := tableOf(fleet([]string{"a"}, 3))
-		Expect(table.NextToPoll(start.Add(freshReport / 2))).To(BeNil())
+	It("skips servers with a fresh report", func() {
+		table := newSyncedTable(newServers([]string{"a"}, 3))
+		Expect(table.NextToPoll(start.Add(freshReportAge / 2))).To(BeNil())
 	})
 })
 
-var _ = Describe("homes", func() {
-	It("move only the keys of a server that is gone", func() {
-		servers := fleet([]string{"a", "b"}, 5)
+var _ = Describe("OrderHomes", func() {
+	It("moves only the keys of a removed server", func() {
+		servers := newServers([]string{"a", "b"}, 5)
 		for i := range 500 {
 			key := fmt.Sprint("key", i)
 			before := OrderHomes(servers, "c", key)
@@ -266,17 +266,17 @@
 	})
 })
 
-var _ = Describe("the retry budget", func() {
-	It("bounds retries to its share, per customer", func() {
+var _ = Describe("RetryBudget", func() {
+	It("limits each customer's retries to the percentage", func() {
 		b := NewRetryBudget(10)
-		spent := 0
+		retries := 0
 		for range 1000 {
 			b.RecordRequest("a")
 			for b.Acquire("a") {
-				spent++
+				retries++
 			}
 		}
-		Expect(spent).To(BeNumerically("~", 110, 2))
+		Expect(retries).To(BeNumerically("~", 110, 2))
 		b.RecordRequest("b")
 		Expect(b.Acquire("b")).To(BeTrue())
 	})
--- a/internal/routing/score.go
+++ b/internal/routing/score.go
@@ -2,13 +2,12 @@
 
 import "time"
 
-// LoadScorer rates the expected wait: the load that the agent reported, grown
-// by own requests sent since, over the server's limit, times how slow the
-// server is compared with its peers.
+// LoadScorer scores the expected wait: the reported load plus own requests sent since, over
+// the server's concurrency limit, times its slowness relative to its peers.
 type LoadScorer struct{}
 
-// reportHalfLife is the age at which a report counts half; own requests in
-// flight then carry the other half.
+// reportHalfLife is the age at which a report has half of the weight. Own requests in flight
+// have the other half.
 const reportHalfLife = 2 * time.Second
 
 // Score implements Scorer.
@@ -16,19 +15,19 @@
 	limit := max(row.Reported.Limit, 1)
 	reported := float64(row.Reported.InFlight + row.Reported.Queued + row.SentSinceReport)
 	age := now.Sub(row.ReportedAt)
-	trust := float64(reportHalfLife) / float64(reportHalfLife+max(age, 0))
-	load := trust*reported + (1-trust)*float64(row.InFlight)
-	return (load + 1) / float64(limit) * row.slow
+	reportWeight := float64(reportHalfLife) / float64(reportHalfLife+max(age, 0))
+	load := reportWeight*reported + (1-reportWeight)*float64(row.InFlight)
+	return (load + 1) / float64(limit) * row.slowness
 }
 
-// ZoneScorer makes servers of other availability zones cost a little more, so
-// that requests stay in their zone until its servers are clearly busier.
+// ZoneScorer adds a penalty for servers in other availability zones, so that requests stay
+// in their zone until its servers are clearly busier.
 type ZoneScorer struct {
-	// Zone is the entry's own.
+	// Zone is the entry's availability zone.
 	Zone string
 }
 
-// crossZonePenalty is in service times.
+// crossZonePenalty is the penalty in service times.
 const crossZonePenalty = 0.5
 
 // Score implements Scorer.
--- a/internal/routing/table.go
+++ b/internal/routing/table.go
@@ -1,6 +1,6 @@
-// Package routing chooses a backend server for a request: filters, scorers and
-// a pick with power of two choices, over a table of what is known about each
-// server. It is a pure aggregate: time and randomness come in as arguments.
+// Package routing picks a backend server for a request with filters, scorers and the power
+// of two choices, over a table of the servers' state. Time and randomness are arguments, so
+// that it is deterministic.
 package routing
 
 import (
@@ -11,19 +11,19 @@
 	"github.com/crowbridge/crowbridge/internal/wire"
 )
 
-// Health is what an entry knows about whether a server takes requests.
+// Health is a server's availability as an entry sees it.
 type Health int
 
 // The health states.
 const (
 	HealthUp Health = iota
-	// HealthLeaving takes no new work and finishes what it has.
+	// HealthLeaving servers accept no new requests and finish running ones.
 	HealthLeaving
-	// HealthDown could not be reached lately.
+	// HealthDown servers were unreachable at the last attempt.
 	HealthDown
 )
 
-// String names the state as status prints it.
+// String returns the name of the state in status output.
 func (h Health) String() string {
 	switch h {
 	case HealthUp:
@@ -37,55 +37,54 @@
 	}
 }
 
-// ServerState is one server's row in the table.
+// ServerState is a server's row in the table.
 type ServerState struct {
 	Server *selector.Server
 	Health Health
-	// Incarnation of the agent that reported last.
+	// Incarnation identifies the agent's process that sent the last report.
 	Incarnation string
-	// Reported is the agent's last load report, ReportedAt when it came.
+	// Reported is the agent's last load report.
 	Reported   wire.Load
 	ReportedAt time.Time
-	// PolledAt is when the agent was last asked for a report.
+	// PolledAt is the time of the last poll of the agent.
 	PolledAt time.Time
-	// ListedLeaving is set while the platform's list calls the VM leaving.
+	// ListedLeaving is set while the platform's VM list shows the VM as leaving.
 	ListedLeaving bool
-	// SentSinceReport counts own requests sent since the last report; InFlight own requests
+	// SentSinceReport counts own requests sent since the last report, InFlight own requests
 	// that have not ended.
 	SentSinceReport int
 	InFlight        int
-	// Failures to reach the agent in a row, and until when the server is left
-	// alone after them.
+	// Failures counts consecutive failures to reach the agent. The server gets no requests
+	// until RetryAt.
 	Failures int
 	RetryAt  time.Time
-	// Errors that the server gave in a row, and until when it's ejected for them.
+	// Errors counts consecutive failures of the server behind the agent.
 	Errors       int
 	EjectedUntil time.Time
-	// Notice is what the server has said of itself through its agent's present run.
-	Notice eligibility.Report
-	// slow is the smoothed ratio of the server's service time to its peers'.
-	slow float64
+	// SelfReport holds the rest that the server asked for through its agent's current process.
+	SelfReport eligibility.Report
+	// slowness is the smoothed ratio of the server's service time to that of its peers.
+	slowness float64
 }
 
-// Table holds the servers that one entry routes to. Not safe for concurrent
-// use.
+// Table holds the state of the servers that an entry routes to. Not safe for concurrent use.
 type Table struct {
-	zone  string
-	rows  map[string]*ServerState
-	hints *affinity
-	// lost counts, by group, the ranks that take no requests.
-	lost map[string]int
-	// serviceTime is the smoothed service time over all servers.
+	zone     string
+	rows     map[string]*ServerState
+	affinity *affinity
+	// unavailable counts the ranks of each group that are not up.
+	unavailable map[string]int
+	// serviceTime is the smoothed service time of all servers.
 	serviceTime time.Duration
 }
 
 // NewTable returns an empty table for an entry in the given availability zone.
 func NewTable(zone string) *Table {
-	return &Table{zone: zone, rows: map[string]*ServerState{}, hints: newAffinity(), lost: map[string]int{}}
+	return &Table{zone: zone, rows: map[string]*ServerState{}, affinity: newAffinity(), unavailable: map[string]int{}}
 }
 
-// Sync takes over the servers of a new configuration and forgets those that
-// are gone. A server whose address changed is a new one.
+// Sync adds and removes rows according to a new configuration. A server whose address
+// changed starts with a new row.
 func (t *Table) Sync(servers map[string]*selector.Server) {
 	for name, row := range t.rows {
 		server := servers[name]
@@ -97,31 +96,31 @@
 	}
 	for name, server := range servers {
 		if t.rows[name] == nil {
-			t.rows[name] = &ServerState{Server: server, slow: 1}
+			t.rows[name] = &ServerState{Server: server, slowness: 1}
 		}
 	}
-	t.countLost()
+	t.countUnavailable()
 }
 
-// setHealth changes a row's health and keeps the count of its group's lost ranks.
+// setHealth sets a row's health and updates the count of unavailable ranks of its group.
 func (t *Table) setHealth(row *ServerState, health Health) {
 	group := row.Server.Spec.Group
 	if group != "" {
 		if row.Health != HealthUp {
-			t.lost[group]--
+			t.unavailable[group]--
 		}
 		if health != HealthUp {
-			t.lost[group]++
+			t.unavailable[group]++
 		}
 	}
 	row.Health = health
 }
 
-func (t *Table) countLost() {
-	clear(t.lost)
+func (t *Table) countUnavailable() {
+	clear(t.unavailable)
 	for _, row := range t.rows {
 		if group := row.Server.Spec.Group; group != "" && row.Health != HealthUp {
-			t.lost[group]++
+			t.unavailable[group]++
 		}
 	}
 }
@@ -132,14 +131,14 @@
 // Rows returns all rows.
 func (t *Table) Rows() map[string]*ServerState { return t.rows }
 
-// SetListedLeaving takes in what the platform's list says of a VM.
+// SetListedLeaving records whether the platform's VM list shows the server as leaving.
 func (t *Table) SetListedLeaving(name string, leaving bool) {
 	if row := t.rows[name]; row != nil {
 		row.ListedLeaving = leaving
 	}
 }
 
-// RequestSent notes that a request goes to the server.
+// RequestSent records that a request is sent to the server.
 func (t *Table) RequestSent(name string) {
 	if row := t.rows[name]; row != nil {
 		row.SentSinceReport++
@@ -147,54 +146,54 @@
 	}
 }
 
-// RequestEnded notes that a request to the server ended.
+// RequestEnded records the end of a request to the server.
 func (t *Table) RequestEnded(name string) {
 	if row := t.rows[name]; row != nil && row.InFlight > 0 {
 		row.InFlight--
 	}
 }
 
-// UpdateLoad takes in an agent's load report. What an agent says of itself beats
-// every list: leaving holds until another incarnation speaks.
+// UpdateLoad applies an agent's load report. Once an agent has reported leaving, only another
+// incarnation can clear it.
 func (t *Table) UpdateLoad(now time.Time, name, incarnation string, load wire.Load) {
 	row := t.rows[name]
 	if row == nil {
 		return
 	}
 	if row.Incarnation != incarnation {
-		row.Notice = eligibility.Report{}
+		row.SelfReport = eligibility.Report{}
 	}
-	sameLeaving := row.Health == HealthLeaving && row.Incarnation == incarnation
+	stillLeaving := row.Health == HealthLeaving && row.Incarnation == incarnation
 	row.Incarnation = incarnation
 	row.Reported = load
 	row.ReportedAt = now
 	row.SentSinceReport = 0
 	row.Failures = 0
 	health := HealthUp
-	if load.Leaving || sameLeaving {
+	if load.Leaving || stillLeaving {
 		health = HealthLeaving
 	}
 	t.setHealth(row, health)
-	t.learnSpeed(row, load.ServiceTime)
+	t.updateSlowness(row, load.ServiceTime)
 }
 
 const (
-	speedWeight = 0.1
-	// maxSlow bounds how much a straggler's score suffers, so that it still gets
-	// some work and can be seen to recover.
-	maxSlow = 8.0
+	smoothingFactor = 0.1
+	// maxSlowness bounds the penalty of a slow server, so that it still gets some requests
+	// and its recovery is noticed.
+	maxSlowness = 8.0
 )
 
-func (t *Table) learnSpeed(row *ServerState, took time.Duration) {
+func (t *Table) updateSlowness(row *ServerState, took time.Duration) {
 	if took <= 0 {
 		return
 	}
 	if t.serviceTime == 0 {
 		t.serviceTime = took
 	}
-	t.serviceTime += time.Duration(speedWeight / float64(len(t.rows)+1) * float64(took-t.serviceTime))
-	ratio := min(max(float64(took)/float64(t.serviceTime), 1/maxSlow), maxSlow)
-	row.slow += speedWeight * (ratio - row.slow)
+	t.serviceTime += time.Duration(smoothingFactor / float64(len(t.rows)+1) * float64(took-t.serviceTime))
+	ratio := min(max(float64(took)/float64(t.serviceTime), 1/maxSlowness), maxSlowness)
+	row.slowness += smoothingFactor * (ratio - row.slowness)
 }
 
 const (
@@ -202,35 +201,34 @@
 	maxBackoff  = 15 * time.Second
 )
 
-// RecordUnreachable notes that the server could not be reached.
+// RecordUnreachable records a failure to reach the server's agent and starts a back-off.
 func (t *Table) RecordUnreachable(now time.Time, name string) {
 	row := t.rows[name]
 	if row == nil {
 		return
 	}
 	row.Failures++
-	row.RetryAt = now.Add(backoffAfter(row.Failures))
+	row.RetryAt = now.Add(backoff(row.Failures))
 	if row.Health != HealthLeaving {
 		t.setHealth(row, HealthDown)
 	}
 }
 
-func backoffAfter(failures int) time.Duration {
+func backoff(failures int) time.Duration {
 	const doublings = 5
 	return min(baseBackoff<<min(failures-1, doublings), maxBackoff)
 }
 
-// RecordError notes that the agent was reached and the server behind it failed. A
-// server that fails fast reports little load and would attract ever more
-// requests, so it's ejected for a time that grows.
+// RecordError records a failure of the server behind a reachable agent and ejects it for a
+// growing time: a server that fails fast reports little load and would attract more requests.
 func (t *Table) RecordError(now time.Time, name string) {
 	if row := t.rows[name]; row != nil {
 		row.Errors++
-		row.EjectedUntil = now.Add(backoffAfter(row.Errors))
+		row.EjectedUntil = now.Add(backoff(row.Errors))
 	}
 }
 
-// RecordSuccess notes that the server answered.
+// RecordSuccess records a response of the server and ends its ejection.
 func (t *Table) RecordSuccess(name string) {
 	if row := t.rows[name]; row != nil {
 		row.Errors = 0
--- a/internal/steering/steering.go
+++ b/internal/steering/steering.go
@@ -1,6 +1,6 @@
-// Package steering applies the operators' labels and selectors to the servers that
-// register themselves on the users' platform: it narrows the servers of a service to
-// those that the product's own configuration allows a customer at present.
+// Package steering applies the operators' labels and selectors to the servers that are
+// registered on the users' platform: it restricts the servers of a service to those that the
+// product's own configuration currently allows for a customer.
 package steering
 
 import (
@@ -17,68 +17,66 @@
 	"github.com/sirupsen/logrus"
 )
 
-// Labels that each registered server has; the operators add their own to its
-// group and to the server itself.
+// Labels of each registered server. Operators can add labels to a server and to its group.
 const (
 	LabelService = "service"
 	LabelZone    = "zone"
 	LabelGroup   = "group"
 )
 
-// NoRoute is the rule that decided when routes lead to a service, but none for the
-// customer at this time.
+// NoRoute is reported as the route when a service has routes, but none that is active for
+// the customer.
 const NoRoute = "(no route matches)"
 
-// Filter follows the configuration. Safe for concurrent use.
+// Filter restricts servers according to the replicated configuration. Safe for concurrent
+// use.
 type Filter struct {
 	replica *replica.Replica
 	now     func() time.Time
 	log     *logrus.Entry
-	known   atomic.Bool
+	ready   atomic.Bool
 
-	mu    sync.Mutex // a leaf
-	rules *rules
-	// allowed has the servers that each route admits, of the state of the registry that
-	// it was worked out for.
+	mu      sync.Mutex // leaf lock
+	ruleSet *ruleSet
+	// allowed caches the servers of registry that each route allows.
 	registry *fleet.Servers
 	allowed  map[*selector.Route][]*fleet.Server
 }
 
-// rules are one configuration, compiled.
-type rules struct {
+// ruleSet is a compiled configuration.
+type ruleSet struct {
 	index *selector.Index
-	// servers are the operators' objects by the servers' addresses, groups their groups'
-	// labels by name.
+	// servers holds the operators' backend server objects by address.
 	servers map[string]*config.Object
-	groups  map[string]map[string]string
+	// groups holds the labels of groups by name.
+	groups map[string]map[string]string
 }
 
-// New returns a steering that allows everything until Follow has compiled a
-// configuration.
+// New returns a filter that allows all servers until Run has compiled a configuration.
 func New(rep *replica.Replica, now func() time.Time, log *logrus.Entry) *Filter {
 	return &Filter{replica: rep, now: now, log: log}
 }
 
-// Ready tells whether the configuration's log has been heard of since the start,
-// directly or through another daemon, and what it said is in force. Until then nobody
-// can say what is allowed.
-func (s *Filter) Ready() bool {
-	if s.known.Load() {
+// Ready reports whether the replica has synced since the start, from the log or another
+// daemon, and its configuration is compiled. Until then it is unknown which servers are
+// allowed.
+func (f *Filter) Ready() bool {
+	if f.ready.Load() {
 		return true
 	}
-	in := s.inForce()
-	if in == nil || !s.replica.HasSynced() || in.index.ConfigOffset() != s.replica.View().Configured {
+	current := f.current()
+	if current == nil || !f.replica.HasSynced() || current.index.ConfigOffset() != f.replica.View().Configured {
 		return false
 	}
-	s.known.Store(true)
+	f.ready.Store(true)
 	return true
 }
 
-// Run brings each change into force until the context ends.
-func (s *Filter) Run(ctx context.Context) {
+// Run compiles each change of the configuration until the context ends.
+func (f *Filter) Run(ctx context.Context) {
 	for {
-		changed := s.replica.Changed()
-		s.compile(s.replica.View())
+		changed := f.replica.Changed()
+		f.compile(f.replica.View())
 		select {
 		case <-changed:
 		case <-ctx.Done():
@@ -87,65 +85,65 @@
 	}
 }
 
-func (s *Filter) compile(view *config.View) {
-	if in := s.inForce(); in != nil && in.index.ConfigOffset() == view.Configured {
+func (f *Filter) compile(view *config.View) {
+	if current := f.current(); current != nil && current.index.ConfigOffset() == view.Configured {
 		return
 	}
 	index, err := selector.NewIndex(view)
 	if err != nil {
-		// The fold validates selectors and references, so this is a fault of ours.
-		s.log.WithError(err).Error("selectors don't compile; keeping those in force")
+		// Selectors and references are validated before they are applied, so this is a bug.
+		f.log.WithError(err).Error("selectors don't compile; keeping the current ones")
 		return
 	}
-	r := &rules{index: index, servers: map[string]*config.Object{}, groups: map[string]map[string]string{}}
+	r := &ruleSet{index: index, servers: map[string]*config.Object{}, groups: map[string]map[string]string{}}
 	for _, object := range view.List(config.KindBackendServer) {
 		r.servers[object.BackendServer.Address] = object
 	}
 	for _, object := range view.List(config.KindGroup) {
 		r.groups[object.Name] = object.Labels
 	}
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.rules, s.allowed = r, nil
-	s.log.WithField("offset", view.Configured).Info("selectors in force")
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	f.ruleSet, f.allowed = r, nil
+	f.log.WithField("offset", view.Configured).Info("selectors applied")
 }
 
-func (s *Filter) inForce() *rules {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.rules
+func (f *Filter) current() *ruleSet {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	return f.ruleSet
 }
 
-// Allowed returns the servers of a service that a customer's requests may go to now,
-// and the route that decided: "" when no route leads to the service, and all servers
-// are allowed.
-func (s *Filter) Allowed(registry *fleet.Servers, service, customer string) (servers []*fleet.Server, route string) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if s.rules == nil {
+// Allowed returns the servers of a service that a customer's requests may go to now, and the
+// route that decided. Without a route to the service, all servers are allowed and the route
+// is "".
+func (f *Filter) Allowed(registry *fleet.Servers, service, customer string) (servers []*fleet.Server, route string) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	if f.ruleSet == nil {
 		return registry.OfService(service), ""
 	}
-	index := s.rules.index
-	found, routed := index.RouteForService(index.CustomerOrDefault(customer), service, s.now())
+	index := f.ruleSet.index
+	found, routed := index.RouteForService(index.CustomerOrDefault(customer), service, f.now())
 	if !routed {
 		return registry.OfService(service), ""
 	}
 	if found == nil {
 		return nil, NoRoute
 	}
-	if s.registry != registry || s.allowed == nil {
-		s.registry, s.allowed = registry, map[*selector.Route][]*fleet.Server{}
+	if f.registry != registry || f.allowed == nil {
+		f.registry, f.allowed = registry, map[*selector.Route][]*fleet.Server{}
 	}
-	admitted, known := s.allowed[found]
-	if !known {
-		admitted = s.rules.admitted(found, registry.OfService(service))
-		s.allowed[found] = admitted
+	eligible, cached := f.allowed[found]
+	if !cached {
+		eligible = f.ruleSet.eligible(found, registry.OfService(service))
+		f.allowed[found] = eligible
 	}
-	return admitted, found.Name
+	return eligible, found.Name
 }
 
-// admitted returns the servers that a route admits and that the operators don't drain.
-func (r *rules) admitted(route *selector.Route, servers []*fleet.Server) []*fleet.Server {
+// eligible returns the servers that match the route and are not drained.
+func (r *ruleSet) eligible(route *selector.Route, servers []*fleet.Server) []*fleet.Server {
 	var found []*fleet.Server
 	for _, server := range servers {
 		if r.reason(route, server) == "" {
@@ -155,8 +153,8 @@
 	return found
 }
 
-// reason tells why a route doesn't admit a server, or "".
-func (r *rules) reason(route *selector.Route, server *fleet.Server) string {
+// reason returns why a server is not eligible for a route, or "".
+func (r *ruleSet) reason(route *selector.Route, server *fleet.Server) string {
 	if object := r.servers[server.Address]; object != nil && object.BackendServer.Draining {
 		return "draining"
 	}
@@ -166,9 +164,9 @@
 	return ""
 }
 
-// labels are those of the registration, of the group and of the server itself; the
-// last win.
-func (r *rules) labels(server *fleet.Server) map[string]string {
+// labels merges the labels of the registration, the group and the server; later ones take
+// precedence.
+func (r *ruleSet) labels(server *fleet.Server) map[string]string {
 	all := map[string]string{LabelService: server.Service, LabelZone: server.Zone}
 	if server.Rank != nil {
 		all[LabelGroup] = server.Rank.Group
@@ -180,23 +178,23 @@
 	return all
 }
 
-// Explain tells for each server of a service why a customer's requests may not go
-// there now, "" when they may, and the route that decides.
-func (s *Filter) Explain(registry *fleet.Servers, service, customer string) (route string, reasons map[string]string) {
-	servers, route := s.Allowed(registry, service, customer)
+// Explain returns the route that decides, as Allowed does, and for each server of the service
+// why the customer's requests may not go there now, or "" if they may.
+func (f *Filter) Explain(registry *fleet.Servers, service, customer string) (route string, reasons map[string]string) {
+	servers, route := f.Allowed(registry, service, customer)
 	reasons = map[string]string{}
 	for _, server := range servers {
 		reasons[server.ID] = ""
 	}
-	in := s.inForce()
+	current := f.current()
 	for _, server := range registry.OfService(service) {
 		if _, allowed := reasons[server.ID]; allowed {
 			continue
 		}
-		reasons[server.ID] = "no route of this customer is open now"
-		found, _ := in.index.RouteForService(in.index.CustomerOrDefault(customer), service, s.now())
+		reasons[server.ID] = "the customer has no active route"
+		found, _ := current.index.RouteForService(current.index.CustomerOrDefault(customer), service, f.now())
 		if found != nil {
-			reasons[server.ID] = in.reason(found, server)
+			reasons[server.ID] = current.reason(found, server)
 		}
 	}
 	return route, reasons
--- a/internal/steering/steering_test.go
+++ b/internal/steering/steering_test.go
@@ -18,8 +18,8 @@
 	RunSpecs(t, "steering")
 }
 
-// manifest: day work of gold customers goes to the west, all else of known fleets to
-// servers that aren't canaries.
+// manifest routes gold customers to the west by day and all other labelled customers to
+// servers that are not canaries.
 const manifest = `
 kind: Service
 name: writer
@@ -58,7 +58,7 @@
 backendServer: {service: writer, zone: west, address: "1.1.1.4:1", control: "1.1.1.4:2", draining: true}
 `
 
-var _ = Describe("steering", func() {
+var _ = Describe("Filter", func() {
 	var rep *replica.Replica
 	var s *Filter
 	now := time.Date(2026, 12, 2, 12, 0, 0, 0, time.UTC)
@@ -104,23 +104,23 @@
 		return ids, rule
 	}
 
-	It("isn't known before the log has been heard of and what it said is in force", func() {
+	It("is ready only after the replica has synced and its configuration is compiled", func() {
 		s.compile(rep.View())
 		Expect(s.Ready()).To(BeFalse())
 		apply(manifest)
-		s.rules = nil
+		s.ruleSet = nil
 		Expect(s.Ready()).To(BeFalse())
 		s.compile(rep.View())
 		Expect(s.Ready()).To(BeTrue())
 	})
 
-	It("is known when the log is empty", func() {
+	It("is ready when the log is empty", func() {
 		s.compile(rep.View())
 		Expect(rep.Apply(replica.Batch{})).To(Succeed())
 		Expect(s.Ready()).To(BeTrue())
 	})
 
-	It("allows everything while no route leads to a service", func() {
+	It("allows all servers of a service without routes", func() {
 		ids, rule := allowed("ledger", "rozsa")
 		Expect(ids).To(ConsistOf("other"))
 		Expect(rule).To(BeEmpty())
@@ -130,7 +130,7 @@
 		Expect(rule).To(BeEmpty())
 	})
 
-	DescribeTable("narrows the servers", func(hour int, customer string, want []string, wantRule string) {
+	DescribeTable("restricts the servers", func(hour int, customer string, want []string, wantRule string) {
 		now = time.Date(2026, 12, 2, hour, 0, 0, 0, time.UTC)
 		apply(manifest)
 		ids, rule := allowed("writer", customer)
@@ -140,11 +140,11 @@
 		Entry("by the route of the highest priority", 12, "rozsa", []string{"west"}, "gold-by-day"),
 		Entry("by the next one outside its window", 20, "rozsa", []string{"west", "east"}, "plain"),
 		Entry("by the labels of customers", 12, "tulipan", []string{"west", "east"}, "plain"),
-		Entry("to none for customers whom no route matches", 12, "stranger", []string{}, NoRoute),
+		Entry("to none for a customer that no route matches", 12, "stranger", []string{}, NoRoute),
 		Entry("to none without a customer", 12, "", []string{}, NoRoute),
 	)
 
-	It("follows changes and the registry", func() {
+	It("applies changes of the configuration and the registry", func() {
 		now = time.Date(2026, 12, 2, 20, 0, 0, 0, time.UTC)
 		apply(manifest)
 		ids, _ := allowed("writer", "rozsa")
@@ -157,7 +157,7 @@
 		Expect(servers).To(HaveLen(1))
 	})
 
-	It("explains", func() {
+	It("explains why a server is not allowed", func() {
 		now = time.Date(2026, 12, 2, 20, 0, 0, 0, time.UTC)
 		apply(manifest)
 		rule, reasons := s.Explain(registry, "writer", "rozsa")
@@ -167,6 +167,6 @@
 			"drained": "draining",
 		}))
 		_, reasons = s.Explain(registry, "writer", "stranger")
-		Expect(reasons).To(HaveKeyWithValue("west", "no route of this customer is open now"))
+		Expect(reasons).To(HaveKeyWithValue("west", "the customer has no active route"))
 	})
 })
