--- a/internal/fleet/config.go
+++ b/internal/fleet/config.go
@@ -1,6 +1,5 @@
-// Package fleet holds what a hosted daemon knows of the world around it: the
-// operators' configuration and the backend servers. Everything here is
-// immutable once published; it is decoded elsewhere and does no I/O.
+// Package fleet models the environment of a daemon: the operators' configuration and the registered
+// backend servers. All values are immutable once published. The package does no I/O.
 package fleet
 
 import (
@@ -10,80 +9,79 @@
 	"time"
 )
 
-// Kind tells how often a request may be executed.
+// Kind defines how often a request may be executed.
 type Kind int
 
-// The kinds of request.
+// The kinds of requests.
 const (
-	// KindNonIdempotent may run once for each attempt of the caller.
+	// KindNonIdempotent requests run at most once per attempt of the caller.
 	KindNonIdempotent Kind = iota
-	// KindIdempotent may run any number of times.
+	// KindIdempotent requests may run any number of times.
 	KindIdempotent
-	// KindStreaming answers with server-sent events. It is idempotent only when
-	// the route says that it can be resumed.
+	// KindStreaming requests return server-sent events. They are idempotent only if the route is
+	// resumable.
 	KindStreaming
 )
 
-// Target is one service that a route leads to.
+// Target is a service that a route leads to.
 type Target struct {
 	Service string
-	// Weight is the target's share of the route's requests, relative to the other targets.
+	// Weight is the target's share of the route's requests relative to the other targets.
 	Weight int
 }
 
-// Route says where the requests of a host and path prefix go.
+// Route defines where the requests of a host and path prefix go.
 type Route struct {
 	Name       string
 	Host       string
 	PathPrefix string
 	Kind       Kind
 	Targets    []Target
-	// Timeout is the longest that a caller may be kept waiting for the whole answer.
+	// Timeout limits the time until the caller has the complete response.
 	Timeout time.Duration
-	// Objective is the time to the first byte of an answer, or of a stream's first
-	// event, within which it counts as prompt.
+	// Objective is the latency objective: the time to the first byte of a response, or to the first
+	// event of a stream.
 	Objective time.Duration
-	// EventPause is the longest pause between two events of a prompt stream.
+	// MaxEventGap is the objective for the time between two events of a stream.
 	MaxEventGap time.Duration
 	// Priority ranks requests; 0 is the most urgent.
 	Priority int
-	// MaxAttempts is how many servers one request may be sent to.
+	// MaxAttempts limits the number of servers that a request is sent to.
 	MaxAttempts int
 	// Public routes need no API key.
 	Public bool
-	// Resumable streams may be continued on another server after an event.
+	// Resumable streams may continue on another server after their first event.
 	Resumable bool
 }
 
-// Idempotent tells whether a request of this route may run more than once.
+// Idempotent reports whether a request of this route may run more than once.
 func (r *Route) Idempotent() bool {
 	return r.Kind == KindIdempotent || (r.Kind == KindStreaming && r.Resumable)
 }
 
-// EngineModel is the published cost model of a service's model engines.
+// EngineModel is the published cost model of a service's engines.
 type EngineModel struct {
-	// Stride is the number of token steps in a pass, and so of tokens in an event.
+	// Stride is the number of token steps per pass, and thus of tokens per event.
 	Stride int
-	// Step is the time of one token step without any request.
+	// Step is the duration of a token step without any request.
 	Step time.Duration
-	// StepPerRequest is added to a step for each request that generates.
+	// StepPerRequest is the additional duration per generating request.
 	StepPerRequest time.Duration
-	// Sets, Experts and Placements are the shape of an expert map: sets of layers,
-	// experts in each set, and the most experts of a set that a rank can hold.
+	// Sets, Experts and Placements are the shape of an expert map: the number of sets of layers,
+	// the number of experts per set, and the maximum number of experts of a set on a rank.
 	Sets, Experts, Placements int
-	// NewPerOrder is the most experts of a set that one prepare order may add to a rank.
+	// MaxNewPerPrepare limits the experts of a set that one prepare command may add to a rank.
 	MaxNewPerPrepare int
-	// ExpertShare is the part of a step's work that is done by experts.
+	// ExpertShare is the fraction of a step's work that experts do.
 	ExpertShare float64
-	// CopyTime is how long a rank takes to copy one expert, 0 when nothing tells.
+	// CopyTime is the time in which a rank copies one expert, or 0 if unknown.
 	CopyTime time.Duration
 }
 
 // Service is a set of interchangeable backend servers.
 type Service struct {
 	Name string
-	// MaxConns is how many connections a server takes from all VMs together; 0 when that
-	// isn't bound.
+	// MaxConns limits the connections to a server from all VMs together; 0 means no limit.
 	MaxConns int
 	// Engine is nil for plain services.
 	Engine *EngineModel
@@ -92,11 +90,11 @@
 // Customer is a user of the deployment.
 type Customer struct {
 	Name string
-	// Priority overrides that of the routes when set.
+	// Priority overrides the priority of the routes if set.
 	Priority *int
 }
 
-// Limits bound what a caller may send.
+// Limits limit what a caller may send.
 type Limits struct {
 	MaxHeaderBytes int
 	MaxBodyBytes   int64
@@ -105,21 +103,21 @@
 	IdleTimeout time.Duration
 }
 
-// Config is one version of the operators' configuration, indexed for lookups.
+// Config is a version of the operators' configuration, indexed for lookups.
 type Config struct {
 	Version  int64
 	Limits   Limits
 	services map[string]*Service
-	// routes are the routes by host, longest prefix first.
+	// routes maps each host to its routes, longest prefix first.
 	routes       map[string][]*Route
 	keys         map[string]*Customer
 	hasCustomers bool
-	// mostUrgent is the lowest priority that a request for a service can have.
+	// mostUrgent maps each service to the lowest priority value that its requests can have.
 	mostUrgent map[string]int
 }
 
-// NewConfig indexes a configuration. keys maps each API key to its customer;
-// hasCustomers tells whether requests need one.
+// NewConfig indexes a configuration. keys maps API keys to customers. hasCustomers defines whether
+// requests need a key.
 func NewConfig(version int64, limits Limits, routes []*Route, services []*Service, keys map[string]*Customer, hasCustomers bool) *Config {
 	c := &Config{
 		Version: version, Limits: limits, keys: keys, hasCustomers: hasCustomers,
@@ -140,16 +138,16 @@
 	return c
 }
 
-// rank notes how urgent the requests for each service can be.
+// indexUrgency computes the lowest priority value of each service.
 func (c *Config) indexUrgency(routes []*Route) {
-	ofCustomers := math.MaxInt
+	customerPriority := math.MaxInt
 	for _, customer := range c.keys {
 		if customer.Priority != nil {
-			ofCustomers = min(ofCustomers, *customer.Priority)
+			customerPriority = min(customerPriority, *customer.Priority)
 		}
 	}
 	for _, route := range routes {
-		lowest := min(route.Priority, ofCustomers)
+		lowest := min(route.Priority, customerPriority)
 		for _, target := range route.Targets {
 			if known, ranked := c.mostUrgent[target.Service]; !ranked || lowest < known {
 				c.mostUrgent[target.Service] = lowest
@@ -158,8 +156,8 @@
 	}
 }
 
-// Priority ranks a request of a route and a customer, who may be nil; 0 is the most
-// urgent. A customer's own priority wins.
+// Priority returns the priority of a request. The customer's own one takes precedence over the
+// route's. customer may be nil.
 func Priority(route *Route, customer *Customer) int {
 	if customer != nil && customer.Priority != nil {
 		return *customer.Priority
@@ -167,14 +165,13 @@
 	return route.Priority
 }
 
-// Behind tells by how much a priority is less urgent than the most urgent that
-// requests for a service can have.
+// PriorityGap returns the difference between a priority and the most urgent one that requests for
+// the service can have.
 func (c *Config) PriorityGap(service string, priority int) int {
 	return max(priority-c.mostUrgent[service], 0)
 }
 
-// Route returns the route of a host and path, or nil. Of several that match,
-// the one with the longest prefix wins.
+// Route returns the route with the longest prefix that matches a host and path, or nil.
 func (c *Config) Route(host, path string) *Route {
 	host, _, _ = strings.Cut(host, ":")
 	for _, route := range c.routes[strings.ToLower(host)] {
@@ -185,17 +182,16 @@
 	return nil
 }
 
-// Customer returns the holder of an API key, or nil.
+// Customer returns the customer with an API key, or nil.
 func (c *Config) Customer(key string) *Customer { return c.keys[key] }
 
-// NeedsKey tells whether requests of a route must carry an API key.
+// RequiresKey reports whether requests of a route need an API key.
 func (c *Config) RequiresKey(route *Route) bool { return c.hasCustomers && !route.Public }
 
 // Service returns a service by name, or nil.
 func (c *Config) Service(name string) *Service { return c.services[name] }
 
-// EventPause returns the shortest pause between events that any route to a
-// service calls prompt, or 0 when none does.
+// MaxEventGap returns the smallest MaxEventGap of the routes to a service, or 0 if none has one.
 func (c *Config) MaxEventGap(service string) time.Duration {
 	shortest := time.Duration(0)
 	for _, routes := range c.routes {
--- a/internal/fleet/server.go
+++ b/internal/fleet/server.go
@@ -2,38 +2,39 @@
 
 import "sort"
 
-// GroupRank is a server's place in a group whose ranks run in lock-step.
+// GroupRank is a server's rank in a group that runs in lock-step.
 type GroupRank struct {
 	Group string
-	// Epoch rises each time the group forms anew, with the default expert map.
+	// Epoch increases each time the group forms again, with the default expert map.
 	Epoch int64
 	Rank  int
 	Size  int
-	// Open is false while the group can't run for want of a rank.
+	// Open is false while the group can't run because a rank is missing.
 	Open bool
 }
 
-// Server is one incarnation of a backend server, as it registered itself.
+// Server is the registration of one incarnation of a backend server.
 type Server struct {
-	// ID is the server's name in the registry. One that crashed may start again under it.
+	// ID is the server's name in the registry. A restarted server may reuse it.
 	ID string
-	// Incarnation names this start of the server, where servers tell their starts apart;
-	// empty otherwise. Two starts have no order: clocks may have been stepped back between.
+	// Incarnation identifies a start of the server, or is empty if servers don't report it.
+	// Incarnations have no order, since clocks may be stepped back between them.
 	Incarnation string
-	// Born is what the server says of that start itself, 0 where it doesn't.
+	// StartID is the server's own identifier of its start, or 0 if it reports none.
 	StartID int64
 	Service string
-	// Address is its IP:port. Another service may get it once this server is gone.
+	// Address is IP:port. Another service may reuse it after the server is removed.
 	Address  string
 	Zone     string
 	Capacity int
 	// Leaving servers get no new requests.
 	Leaving bool
-	// Rank is nil for servers that are in no group.
+	// Rank is nil for servers outside groups.
 	Rank *GroupRank
 }
 
-// Key is what is believed of the server is kept by: nothing of it holds for another start.
+// Key returns the key under which state about the server is kept. State of one incarnation doesn't
+// apply to another.
 func (s *Server) Key() string {
 	if s.Incarnation != "" {
 		return s.Incarnation
@@ -41,7 +42,7 @@
 	return s.ID
 }
 
-// Servers is one state of the registry.
+// Servers is a snapshot of the registry.
 type Servers struct {
 	byID      map[string]*Server
 	byKey     map[string]*Server
@@ -49,7 +50,7 @@
 	byAddress map[string]*Server
 }
 
-// NewServers indexes a state of the registry.
+// NewServers indexes a snapshot of the registry.
 func NewServers(list []*Server) *Servers {
 	s := &Servers{byID: make(map[string]*Server, len(list)), byKey: make(map[string]*Server, len(list)), byService: map[string][]*Server{}, byAddress: map[string]*Server{}}
 	for _, server := range list {
@@ -66,8 +67,7 @@
 	return s
 }
 
-// supersedes tells whether of two servers at one address the first is the
-// newer one, as far as that shows.
+// supersedes reports whether server a is known to be newer than b at the same address.
 func supersedes(a, b *Server) bool {
 	if a.Rank != nil && b.Rank != nil && a.Rank.Epoch != b.Rank.Epoch {
 		return a.Rank.Epoch > b.Rank.Epoch
@@ -75,17 +75,17 @@
 	return b.Leaving && !a.Leaving
 }
 
-// At returns the server at an address, or nil.
+// ByAddress returns the server at an address, or nil.
 func (s *Servers) ByAddress(address string) *Server { return s.byAddress[address] }
 
-// Server returns a server by ID, or nil.
+// ByID returns a server by ID, or nil.
 func (s *Servers) ByID(id string) *Server { return s.byID[id] }
 
-// Started returns the server whose present start a key names, or nil.
+// ByKey returns the server with a Server.Key, or nil.
 func (s *Servers) ByKey(key string) *Server { return s.byKey[key] }
 
-// Of returns the servers of a service, leaving ones included, ordered by ID.
+// OfService returns the servers of a service, including leaving ones, sorted by ID.
 func (s *Servers) OfService(service string) []*Server { return s.byService[service] }
 
-// All returns the servers by ID.
+// All returns all servers by ID.
 func (s *Servers) All() map[string]*Server { return s.byID }
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,5 +1,4 @@
-// Package settings checks the daemons' settings all at once and names each
-// that is wrong.
+// Package settings validates the settings of daemons and reports all invalid ones at once.
 package settings
 
 import (
@@ -11,7 +10,7 @@
 	"github.com/pkg/errors"
 )
 
-// Checker collects what is wrong with a process's settings.
+// Checker collects the problems of a process's settings.
 type Checker struct {
 	problems []string
 }
@@ -20,7 +19,7 @@
 	c.problems = append(c.problems, fmt.Sprintf("%s: %q: %s", name, value, fix))
 }
 
-// Required checks that a setting is given.
+// Required checks that a setting isn't empty.
 func (c *Checker) Required(name, value string) {
 	if value == "" {
 		c.add(name, value, "give it as --"+name+" or "+EnvName(name))
@@ -30,11 +29,11 @@
 // IPPort checks that a setting is an IP address and port.
 func (c *Checker) IPPort(name, value string) {
 	if _, err := netip.ParseAddrPort(value); err != nil {
-		c.add(name, value, "use IP:port; names aren't looked up")
+		c.add(name, value, "use IP:port; host names aren't resolved")
 	}
 }
 
-// URL checks that a setting is an http URL.
+// URL checks that a setting is an HTTP URL.
 func (c *Checker) URL(name, value string) {
 	parsed, err := url.Parse(value)
 	if err != nil || parsed.Scheme != "http" || parsed.Host == "" {
@@ -42,14 +41,14 @@
 	}
 }
 
-// Positive checks that a number is above zero.
+// Positive checks that a setting is greater than zero.
 func (c *Checker) Positive(name string, value int64) {
 	if value <= 0 {
-		c.add(name, fmt.Sprint(value), "use a number above 0")
+		c.add(name, fmt.Sprint(value), "use a number greater than 0")
 	}
 }
 
-// Fail adds a problem found elsewhere.
+// AddError adds a problem if err isn't nil.
 func (c *Checker) AddError(name, value string, err error) {
 	if err != nil {
 		c.add(name, value, err.Error())
@@ -61,33 +60,33 @@
 	if len(c.problems) == 0 {
 		return nil
 	}
-	return errors.New("wrong settings:\n  " + strings.Join(c.problems, "\n  "))
+	return errors.New("invalid settings:\n  " + strings.Join(c.problems, "\n  "))
 }
 
-// EnvName returns the environment variable of a setting: log-url is CROWBRIDGE_LOG_URL.
+// EnvName returns the environment variable of a setting: CROWBRIDGE_LOG_URL for log-url.
 func EnvName(name string) string {
 	return "CROWBRIDGE_" + strings.ToUpper(strings.ReplaceAll(name, "-", "_"))
 }
 
-// Peer is another daemon, with its availability zone.
+// Peer is another daemon and its availability zone.
 type Peer struct {
 	Zone    string
 	Address string
 }
 
-// ParsePeer reads zone=IP:port.
+// ParsePeer parses zone=IP:port.
 func ParsePeer(value string) (Peer, error) {
 	zone, address, found := strings.Cut(value, "=")
 	if !found || zone == "" {
 		return Peer{}, errors.New("use zone=IP:port")
 	}
 	if _, err := netip.ParseAddrPort(address); err != nil {
-		return Peer{}, errors.New("use zone=IP:port; names aren't looked up")
+		return Peer{}, errors.New("use zone=IP:port; host names aren't resolved")
 	}
 	return Peer{Zone: zone, Address: address}, nil
 }
 
-// Peers parses a list and collects what is wrong with it.
+// Peers parses a list of peers and collects its problems.
 func (c *Checker) Peers(name string, values []string) []Peer {
 	peers := make([]Peer, 0, len(values))
 	for _, value := range values {
