--- a/internal/dispatch/choose_test.go
+++ b/internal/dispatch/choose_test.go
@@ -65,10 +65,10 @@
 		for i := range 12 {
 			servers = append(servers, &fleet.Server{ID: fmt.Sprint("s", i), Zone: fmt.Sprint("z", i%3), Capacity: 12, Rank: &fleet.GroupRank{}})
 		}
-		// localFraction returns the fraction of choices in zone z1 while its servers have more requests
-		// than the others; loads vary by one.
+		// localFraction returns the fraction of choices in zone z1 while its servers have more
+		// requests than the others; loads vary by one.
 		localFraction := func(more int) float64 {
-			own := 0
+			local := 0
 			const choices = 600
 			for range choices {
 				b.now = b.now.Add(time.Second)
@@ -80,10 +80,10 @@
 					b.balancer.UpdateLoad(server.ID, Load{Running: running}, b.now)
 				}
 				if b.balancer.Choose(b.now, servers, &Request{}, nil).Server.Zone == "z1" {
-					own++
+					local++
 				}
 			}
-			return float64(own) / choices
+			return float64(local) / choices
 		}
 		Expect(localFraction(0)).To(BeNumerically(">", 0.95), "equal load")
 		Expect(localFraction(4)).To(BeNumerically("<", 0.05))
@@ -100,8 +100,8 @@
 			}
 		}
 		for i := range 12 {
-			own := rank(i)
-			servers = append(servers, &fleet.Server{ID: fmt.Sprint("s", i), Zone: "z1", Capacity: 12, Rank: &own})
+			self := rank(i)
+			servers = append(servers, &fleet.Server{ID: fmt.Sprint("s", i), Zone: "z1", Capacity: 12, Rank: &self})
 		}
 		b.balancer.random = rand.New(rand.NewPCG(1, 1)).IntN
 		countChosen := func() (unresponsive int) {
--- a/internal/dispatch/dispatch_suite_test.go
+++ b/internal/dispatch/dispatch_suite_test.go
@@ -33,31 +33,31 @@
 	allowed func(service, customer string) ([]*fleet.Server, string)
 }
 
-func (w *fakeFleet) Config() *fleet.Config {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.config
+func (f *fakeFleet) Config() *fleet.Config {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	return f.config
 }
 
-func (w *fakeFleet) Servers() *fleet.Servers {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.servers
+func (f *fakeFleet) Servers() *fleet.Servers {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	return f.servers
 }
 
-func (w *fakeFleet) Allowed(service, customer string) ([]*fleet.Server, string) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if w.allowed == nil {
-		return w.servers.OfService(service), ""
+func (f *fakeFleet) Allowed(service, customer string) ([]*fleet.Server, string) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	if f.allowed == nil {
+		return f.servers.OfService(service), ""
 	}
-	return w.allowed(service, customer)
+	return f.allowed(service, customer)
 }
 
-func (w *fakeFleet) setServers(servers ...*fleet.Server) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.servers = fleet.NewServers(servers)
+func (f *fakeFleet) setServers(servers ...*fleet.Server) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	f.servers = fleet.NewServers(servers)
 }
 
 // reply is a scripted server's reaction to one attempt.
@@ -176,13 +176,13 @@
 	body   bytes.Buffer
 }
 
-func (c *responseRecorder) Start(status int, _ http.Header, _ int64) {
-	c.status = status
-	c.starts++
+func (r *responseRecorder) Start(status int, _ http.Header, _ int64) {
+	r.status = status
+	r.starts++
 }
 
-func (c *responseRecorder) Write(data []byte) error {
-	c.body.Write(data)
+func (r *responseRecorder) Write(data []byte) error {
+	r.body.Write(data)
 	return nil
 }
 
--- a/internal/dispatch/fairness_test.go
+++ b/internal/dispatch/fairness_test.go
@@ -60,9 +60,9 @@
 
 // newAdmissionSim returns a simulation of a service with one group of ranks.
 func newAdmissionSim(slots int, duration time.Duration) *admissionSim {
-	c := &admissionSim{fixture: newFixture(), route: "stream", service: "model", slots: slots, duration: duration, requested: map[string]int{}, served: map[string]int{}, servedFirst: map[string]int{}}
+	s := &admissionSim{fixture: newFixture(), route: "stream", service: "model", slots: slots, duration: duration, requested: map[string]int{}, served: map[string]int{}, servedFirst: map[string]int{}}
 	random := rand.New(rand.NewPCG(1, 2))
-	c.balancer.random = random.IntN
+	s.balancer.random = random.IntN
 	var servers []*fleet.Server
 	for i := range simServers {
 		servers = append(servers, &fleet.Server{
@@ -70,62 +70,62 @@
 			Rank: &fleet.GroupRank{Group: "g", Epoch: 1, Rank: i, Size: simServers, Open: true},
 		})
 	}
-	c.fleet.setServers(servers...)
-	return c
+	s.fleet.setServers(servers...)
+	return s
 }
 
 // addRequests adds evenly spaced requests of a customer.
-func (c *admissionSim) addRequests(customer string, perSecond, seconds int) {
+func (s *admissionSim) addRequests(customer string, perSecond, seconds int) {
 	for i := range perSecond * seconds {
 		at := time.Duration(i) * time.Second / time.Duration(perSecond)
-		c.pending = append(c.pending, arrival{at: at, customer: customer})
-		c.requested[customer]++
+		s.pending = append(s.pending, arrival{at: at, customer: customer})
+		s.requested[customer]++
 	}
 }
 
-func (c *admissionSim) run() {
-	start := c.now
-	heap.Init(&c.pending)
-	for len(c.pending) > 0 {
-		next := heap.Pop(&c.pending).(arrival)
-		c.releaseUntil(next.at)
-		c.now = start.Add(next.at)
-		c.handle(next)
+func (s *admissionSim) run() {
+	start := s.now
+	heap.Init(&s.pending)
+	for len(s.pending) > 0 {
+		next := heap.Pop(&s.pending).(arrival)
+		s.releaseUntil(next.at)
+		s.now = start.Add(next.at)
+		s.handle(next)
 	}
 }
 
-func (c *admissionSim) releaseUntil(at time.Duration) {
-	for len(c.releases) > 0 && c.releases[0].at <= at {
-		c.balancer.RequestEnded(c.releases[0].server, &Request{})
-		c.balancer.releaseSlot(c.service, c.releases[0].customer)
-		c.releases = c.releases[1:]
+func (s *admissionSim) releaseUntil(at time.Duration) {
+	for len(s.releases) > 0 && s.releases[0].at <= at {
+		s.balancer.RequestEnded(s.releases[0].server, &Request{})
+		s.balancer.releaseSlot(s.service, s.releases[0].customer)
+		s.releases = s.releases[1:]
 	}
 }
 
-func (c *admissionSim) handle(a arrival) {
-	route := c.fleet.Config().Route("h.example", "/"+c.route+"/x")
-	r := c.request(c.route, 8*time.Second)
+func (s *admissionSim) handle(a arrival) {
+	route := s.fleet.Config().Route("h.example", "/"+s.route+"/x")
+	r := s.request(s.route, 8*time.Second)
 	r.Customer = a.customer
-	x := &exchange{Target: Target{Route: route, Service: c.service, isRetry: a.isRetry}, request: r, route: route, lastEvent: -1}
-	server, f := c.pipeline.selectServer(context.Background(), x)
+	x := &exchange{Target: Target{Route: route, Service: s.service, isRetry: a.isRetry}, request: r, route: route, lastEvent: -1}
+	server, f := s.pipeline.selectServer(context.Background(), x)
 	if f == nil {
-		c.balancer.RequestSent(server.ID, r, c.now)
-		c.releases = append(c.releases, slotRelease{at: a.at + c.duration, server: server.ID, customer: a.customer})
-		c.served[a.customer]++
+		s.balancer.RequestSent(server.ID, r, s.now)
+		s.releases = append(s.releases, slotRelease{at: a.at + s.duration, server: server.ID, customer: a.customer})
+		s.served[a.customer]++
 		if !a.isRetry {
-			c.servedFirst[a.customer]++
+			s.servedFirst[a.customer]++
 		}
 		return
 	}
 	Expect(f.Outcome).To(Equal(failure.OutcomeNotRun))
 	if !a.isRetry {
-		heap.Push(&c.pending, arrival{at: a.at + f.RetryAfter, customer: a.customer, isRetry: true})
+		heap.Push(&s.pending, arrival{at: a.at + f.RetryAfter, customer: a.customer, isRetry: true})
 	}
 }
 
 // servedFraction returns the fraction of a customer's requests that were served.
-func (c *admissionSim) servedFraction(customer string) float64 {
-	return float64(c.served[customer]) / float64(c.requested[customer])
+func (s *admissionSim) servedFraction(customer string) float64 {
+	return float64(s.served[customer]) / float64(s.requested[customer])
 }
 
 var _ = Describe("fair admission of customers", func() {
@@ -138,24 +138,24 @@
 			c.addRequests("c"+strconv.Itoa(i), 1, seconds)
 		}
 		c.run()
-		atOnce := 0
+		servedFirst := 0
 		for i := range 9 {
 			name := "c" + strconv.Itoa(i)
 			Expect(c.servedFraction(name)).To(BeNumerically(">=", 0.95), name)
-			atOnce += c.servedFirst[name]
+			servedFirst += c.servedFirst[name]
 		}
-		Expect(float64(atOnce)/(9*seconds)).To(BeNumerically(">=", 0.6), "served without a prior refusal")
+		Expect(float64(servedFirst)/(9*seconds)).To(BeNumerically(">=", 0.6), "served without a prior refusal")
 		Expect(c.servedFraction("flood")).To(BeNumerically(">=", 0.15), "remaining capacity")
 	})
 
 	It("gives one of two customers about a third, whatever load the other sends", func() {
-		for _, much := range []int{60, 200} {
+		for _, perSecond := range []int{60, 200} {
 			c := newAdmissionSim(40, 2*time.Second)
-			c.addRequests("large", much, seconds)
+			c.addRequests("large", perSecond, seconds)
 			c.addRequests("small", 15, seconds)
 			c.run()
 			large, small := float64(c.served["large"]), float64(c.served["small"])
-			Expect(small/(large+small)).To(BeNumerically(">=", 0.3), "against %d per second", much)
+			Expect(small/(large+small)).To(BeNumerically(">=", 0.3), "against %d per second", perSecond)
 		}
 	})
 
@@ -184,24 +184,24 @@
 	})
 
 	It("counts a customer that was dropped between its request and its admission", func() {
-		shares := newServiceUsage()
+		usage := newServiceUsage()
 		now := time.Unix(1000, 0)
-		shares.recordRequest("paused", now)
-		shares.recordRequest("other", now.Add(activeWindow+time.Millisecond))
-		Expect(shares.customers).NotTo(HaveKey("paused"))
-		shares.acquireSlot("paused")
-		Expect(shares.inFlight).To(Equal(1))
-		shares.releaseSlot("paused")
-		Expect(shares.inFlight).To(BeZero())
+		usage.recordRequest("paused", now)
+		usage.recordRequest("other", now.Add(activeWindow+time.Millisecond))
+		Expect(usage.customers).NotTo(HaveKey("paused"))
+		usage.acquireSlot("paused")
+		Expect(usage.inFlight).To(Equal(1))
+		usage.releaseSlot("paused")
+		Expect(usage.inFlight).To(BeZero())
 	})
 
 	It("drops inactive customers", func() {
-		shares := newServiceUsage()
+		usage := newServiceUsage()
 		now := time.Unix(1000, 0)
 		for i := range 1000 {
-			shares.recordRequest(strconv.Itoa(i), now)
+			usage.recordRequest(strconv.Itoa(i), now)
 		}
-		shares.recordRequest("last", now.Add(activeWindow+time.Millisecond))
-		Expect(shares.customers).To(HaveLen(1))
+		usage.recordRequest("last", now.Add(activeWindow+time.Millisecond))
+		Expect(usage.customers).To(HaveLen(1))
 	})
 })
--- a/internal/dispatch/limits_test.go
+++ b/internal/dispatch/limits_test.go
@@ -20,8 +20,8 @@
 	"github.com/crowbridge/crowbridge/internal/peerrpc"
 )
 
-// The tests in this file guard against exceeding a server's rate limit with the sum of the requests
-// of all entries. See docs/incidents/2026-12-03-limit-kept-by-nobody.md.
+// The tests in this file guard against exceeding a server's rate limit with the sum of the
+// requests of all entries. See docs/incidents/2026-12-03-limit-kept-by-nobody.md.
 
 const (
 	// limitEntries is the number of entries; each receives a request every limitInterval.
@@ -83,13 +83,13 @@
 
 // busiestWindow returns the highest number of requests in a window that ends after a time.
 func (s *limitedServers) busiestWindow(server string, after time.Time) int {
-	most := 0
+	highest := 0
 	for _, at := range s.arrivals[server] {
 		if end := at.Add(1); end.After(after) {
-			most = max(most, s.countBetween(server, end.Add(-limitWindow), end))
+			highest = max(highest, s.countBetween(server, end.Add(-limitWindow), end))
 		}
 	}
-	return most
+	return highest
 }
 
 // limitSim simulates entries and servers with rate limits on a fake clock.
@@ -231,11 +231,11 @@
 	failed := s.run(limitDuration, "once", allEntries()...)
 	Expect(s.servers.busiestWindow("a", s.clock.now().Add(-limitDuration+limitSettleTime))).To(BeNumerically("<=", maxInWindow(1)))
 	Expect(len(failed)).To(BeNumerically(">", 0))
-	hints := map[time.Duration]int{}
+	retryDelays := map[time.Duration]int{}
 	for _, f := range failed {
 		Expect(f.Outcome).To(Equal(failure.OutcomeNotRun))
 		Expect(f.RetryAfter).To(BeNumerically(">", 0))
-		hints[f.RetryAfter.Round(100*time.Millisecond)]++
+		retryDelays[f.RetryAfter.Round(100*time.Millisecond)]++
 	}
-	Expect(len(hints)).To(BeNumerically(">=", 20), "retry delays are spread")
+	Expect(len(retryDelays)).To(BeNumerically(">=", 20), "retry delays are spread")
 }
--- a/internal/dispatch/rest_test.go
+++ b/internal/dispatch/rest_test.go
@@ -109,11 +109,11 @@
 	until chan struct{}
 }
 
-func (h *delayedBody) Read(p []byte) (int, error) {
-	if h.until != nil {
-		<-h.until
+func (b *delayedBody) Read(p []byte) (int, error) {
+	if b.until != nil {
+		<-b.until
 	}
-	return h.Reader.Read(p)
+	return b.Reader.Read(p)
 }
 
 // restFixture is an entry with resting servers and a fake clock.
@@ -265,10 +265,10 @@
 	Expect(s.servers.unwanted).To(BeEmpty())
 
 	// The report survives a temporary loss of the registration.
-	gone := s.fleet.Servers()
-	s.fleet.setServers(gone.ByID("b"))
+	registered := s.fleet.Servers()
+	s.fleet.setServers(registered.ByID("b"))
 	s.balancer.Prune(s.fleet.Servers(), s.clock.now())
-	s.fleet.setServers(gone.ByID("a"), gone.ByID("b"))
+	s.fleet.setServers(registered.ByID("a"), registered.ByID("b"))
 	s.balancer.Prune(s.fleet.Servers(), s.clock.now())
 	for range 20 {
 		s.serve("again")
@@ -276,9 +276,9 @@
 	Expect(s.servers.unwanted).To(BeEmpty())
 
 	// The report doesn't apply to the next incarnation.
-	next := *gone.ByID("a")
+	next := *registered.ByID("a")
 	next.Incarnation = "a-2"
-	s.fleet.setServers(&next, gone.ByID("b"))
+	s.fleet.setServers(&next, registered.ByID("b"))
 	s.balancer.Prune(s.fleet.Servers(), s.clock.now())
 	for range 20 {
 		s.serve("again")
@@ -295,16 +295,16 @@
 	rests := map[string]time.Duration{"a": 1500 * time.Millisecond, "b": 4 * time.Second}
 	s.servers.rest = func(id string) time.Duration { return rests[id] }
 	Expect(s.serve("again").Failure).NotTo(BeNil()) // tries both
-	start, hints := s.clock.now(), map[time.Duration]bool{}
+	start, retryTimes := s.clock.now(), map[time.Duration]bool{}
 	for range 40 {
 		f := s.serve("once").Failure
 		Expect(f).NotTo(BeNil())
 		Expect(f.Outcome).To(Equal(failure.OutcomeNotRun))
-		back := s.clock.now().Add(f.RetryAfter).Sub(start)
-		Expect(back).To(BeNumerically(">=", rests["a"]), "no retry while all servers rest")
-		hints[back.Round(50*time.Millisecond)] = true
+		retryAt := s.clock.now().Add(f.RetryAfter).Sub(start)
+		Expect(retryAt).To(BeNumerically(">=", rests["a"]), "no retry while all servers rest")
+		retryTimes[retryAt.Round(50*time.Millisecond)] = true
 		s.clock.advance(25 * time.Millisecond)
 	}
-	Expect(len(hints)).To(BeNumerically(">=", 5), "retry delays are spread")
+	Expect(len(retryTimes)).To(BeNumerically(">=", 5), "retry delays are spread")
 	Expect(s.servers.unwanted).To(BeEmpty())
 }
--- a/internal/frontend/frontend.go
+++ b/internal/frontend/frontend.go
@@ -227,7 +227,7 @@
 	server *Server
 }
 
-// Start implements dispatch.Caller.
+// Start implements dispatch.ResponseWriter.
 func (c *caller) Start(status int, serverHeader http.Header, length int64) {
 	header := c.w.Header()
 	for name, values := range c.server.dialect.CallerHeader(serverHeader) {
@@ -244,7 +244,7 @@
 	c.w.WriteHeader(status)
 }
 
-// Write implements dispatch.Caller.
+// Write implements dispatch.ResponseWriter.
 func (c *caller) Write(data []byte) error {
 	if len(data) > 0 {
 		if _, err := c.w.Write(data); err != nil {
