--- a/internal/admission/limit.go
+++ b/internal/admission/limit.go
@@ -44,9 +44,9 @@
 }
 
 // SetMax sets the upper bound.
-func (l *Limit) SetMax(most int) {
-	l.options.Max = most
-	l.limit = min(l.limit, float64(most))
+func (l *Limit) SetMax(maximum int) {
+	l.options.Max = maximum
+	l.limit = min(l.limit, float64(maximum))
 }
 
 // Current returns the current limit.
--- a/internal/eligibility/eligibility_test.go
+++ b/internal/eligibility/eligibility_test.go
@@ -73,9 +73,9 @@
 	RegisterTestingT(t)
 	rest := func(s int) *Exclusion { return &Exclusion{Reason: Resting, Remaining: time.Duration(s) * time.Second} }
 	for _, c := range []struct {
-		name  string
-		bars  []*Exclusion
-		first time.Duration
+		name       string
+		exclusions []*Exclusion
+		want       time.Duration
 	}{
 		{name: "none"},
 		{"several resting", []*Exclusion{rest(4), rest(2), rest(3)}, 2 * time.Second},
@@ -84,9 +84,9 @@
 		{"resting and eligible", []*Exclusion{rest(4), nil}, 0},
 	} {
 		var exclusions Exclusions
-		for _, exclusion := range c.bars {
+		for _, exclusion := range c.exclusions {
 			exclusions.Add(exclusion)
 		}
-		Expect(exclusions.EarliestEnd()).To(Equal(c.first), c.name)
+		Expect(exclusions.EarliestEnd()).To(Equal(c.want), c.name)
 	}
 }
--- a/internal/outcome/keys_property_test.go
+++ b/internal/outcome/keys_property_test.go
@@ -118,8 +118,8 @@
 		key = m.newKey(t)
 	}
 	id := Key{Customer: "c", Value: key}
-	verdict, _, _ := m.table.Begin(m.now(), id, "hash", false)
-	if verdict != DecisionRun {
+	decision, _, _ := m.table.Begin(m.now(), id, "hash", false)
+	if decision != DecisionRun {
 		return
 	}
 	m.started[key]++
@@ -197,25 +197,25 @@
 	now := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 	k := NewKeys(KeysOptions{Started: now.Add(-time.Hour), Window: testWindow, Skew: testSkew, MaxKeys: 10, MaxBytes: 100})
 	k.MarkRecorded(nil)
-	mine := Key{Customer: "mine", Value: keyAt(now, 1)}
-	other := Key{Customer: "other", Value: mine.Value}
-	if v, _, _ := k.Begin(now, mine, "h", false); v != DecisionRun {
+	key := Key{Customer: "mine", Value: keyAt(now, 1)}
+	otherKey := Key{Customer: "other", Value: key.Value}
+	if v, _, _ := k.Begin(now, key, "h", false); v != DecisionRun {
 		t.Fatalf("first: %v", v)
 	}
-	if v, _, done := k.Begin(now, mine, "h", false); v != DecisionWait || done == nil {
+	if v, _, done := k.Begin(now, key, "h", false); v != DecisionWait || done == nil {
 		t.Fatalf("while running: %v", v)
 	}
-	if v, _, _ := k.Begin(now, mine, "other body", false); v != DecisionConflict {
+	if v, _, _ := k.Begin(now, key, "other body", false); v != DecisionConflict {
 		t.Fatalf("other body: %v", v)
 	}
-	if v, _, _ := k.Begin(now, other, "h", false); v != DecisionRun {
+	if v, _, _ := k.Begin(now, otherKey, "h", false); v != DecisionRun {
 		t.Fatalf("same key of another customer: %v", v)
 	}
-	k.Finish(now, mine, Response{Status: 201, Body: []byte("done")})
-	if v, a, _ := k.Begin(now.Add(testWindow/2), mine, "h", false); v != DecisionReplay || string(a.Body) != "done" {
+	k.Finish(now, key, Response{Status: 201, Body: []byte("done")})
+	if v, a, _ := k.Begin(now.Add(testWindow/2), key, "h", false); v != DecisionReplay || string(a.Body) != "done" {
 		t.Fatalf("repeat: %v %q", v, a.Body)
 	}
-	if v, _, _ := k.Begin(now.Add(2*testWindow), mine, "h", false); v != DecisionUnresolved {
+	if v, _, _ := k.Begin(now.Add(2*testWindow), key, "h", false); v != DecisionUnresolved {
 		t.Fatalf("after the window: %v", v)
 	}
 }
@@ -230,30 +230,30 @@
 	now = now.Add(time.Minute)
 	seen := Key{Customer: "c", Value: keyAt(now, 1)}
 	if v, _, _ := first.Begin(now, seen, "h", false); v != DecisionRun {
-		t.Fatalf("first run: %v", v)
+		t.Fatalf("first incarnation: %v", v)
 	}
 	first.MarkLost(now, seen)
 	handover := first.Seal(now)
-	between := Key{Customer: "c", Value: keyAt(now.Add(time.Second), 2)}
-	if v, _, _ := first.Begin(now, between, "h", false); v != DecisionUnresolved {
+	unseen := Key{Customer: "c", Value: keyAt(now.Add(time.Second), 2)}
+	if v, _, _ := first.Begin(now, unseen, "h", false); v != DecisionUnresolved {
 		t.Fatalf("sealed table: %v", v)
 	}
 	options.Started = now.Add(2 * time.Second)
 	for _, test := range []struct {
-		name      string
-		inherited *Handover
-		recorded  bool
-		key       Key
-		want      Decision
+		name     string
+		handover *Handover
+		recorded bool
+		key      Key
+		want     Decision
 	}{
-		{"never seen", handover, true, between, DecisionRun},
+		{"never seen", handover, true, unseen, DecisionRun},
 		{"seen before", handover, true, seen, DecisionUnresolved},
-		{"no handover", nil, true, between, DecisionUnresolved},
-		{"not recorded", nil, false, between, DecisionUnresolved},
+		{"no handover", nil, true, unseen, DecisionUnresolved},
+		{"not recorded", nil, false, unseen, DecisionUnresolved},
 	} {
 		second := NewKeys(options)
 		if test.recorded {
-			second.MarkRecorded(test.inherited)
+			second.MarkRecorded(test.handover)
 		}
 		if v, _, _ := second.Begin(options.Started, test.key, "h", false); v != test.want {
 			t.Errorf("%s: %v, want %v", test.name, v, test.want)
@@ -313,8 +313,8 @@
 	now = now.Add(time.Second)
 	k.MarkHomesChanged(now)
 	now = now.Add(skewFactor*testSkew + 2*time.Second)
-	young := Key{Value: keyAt(now, 3)}
-	for key, want := range map[Key]Decision{seen: DecisionReplay, moved: DecisionUnresolved, young: DecisionRun} {
+	recent := Key{Value: keyAt(now, 3)}
+	for key, want := range map[Key]Decision{seen: DecisionReplay, moved: DecisionUnresolved, recent: DecisionRun} {
 		if v, _, _ := k.Begin(now, key, "h", false); v != want {
 			t.Errorf("%v: %v, want %v", key, v, want)
 		}
--- a/internal/quarantine/table_test.go
+++ b/internal/quarantine/table_test.go
@@ -248,7 +248,7 @@
 				pool = append(pool, table.RecordSuccess(d)...)
 			case 3:
 				if len(pool) > 0 {
-					table.Merge(pool[:rapid.IntRange(1, len(pool)).Draw(t, "heard")], now)
+					table.Merge(pool[:rapid.IntRange(1, len(pool)).Draw(t, "received")], now)
 				}
 			}
 			now = now.Add(time.Second)
