--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -11,9 +11,9 @@
 	"github.com/crowbridge/crowbridge/internal/config"
 	"github.com/crowbridge/crowbridge/internal/eligibility"
 	"github.com/crowbridge/crowbridge/internal/failure"
+	"github.com/crowbridge/crowbridge/internal/headers"
 	"github.com/crowbridge/crowbridge/internal/outcome"
 	"github.com/crowbridge/crowbridge/internal/ratelimit"
-	"github.com/crowbridge/crowbridge/internal/wire"
 	"github.com/google/uuid"
 	"github.com/sirupsen/logrus"
 )
@@ -149,10 +149,10 @@
 func (a *Agent) OutcomeCounts() outcome.Counts { return a.ledger.Counts() }
 
 // Load returns the current load report.
-func (a *Agent) Load() wire.Load {
+func (a *Agent) Load() headers.Load {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return wire.Load{
+	return headers.Load{
 		InFlight: a.queue.Running(), Queued: a.queue.Queued(), Limit: a.queue.Limit(),
 		Leaving: a.leaving, ServiceTime: a.queue.ServiceTime(),
 	}
--- a/internal/agent/call.go
+++ b/internal/agent/call.go
@@ -14,9 +14,9 @@
 	"github.com/crowbridge/crowbridge/internal/config"
 	"github.com/crowbridge/crowbridge/internal/eligibility"
 	"github.com/crowbridge/crowbridge/internal/failure"
+	"github.com/crowbridge/crowbridge/internal/headers"
 	"github.com/crowbridge/crowbridge/internal/outcome"
 	"github.com/crowbridge/crowbridge/internal/upstream"
-	"github.com/crowbridge/crowbridge/internal/wire"
 	"github.com/pkg/errors"
 )
 
@@ -59,8 +59,8 @@
 	}
 	request.ContentLength = int64(len(j.body))
 	copyHeaders(request.Header, j.request.Header)
-	request.Header.Set(wire.HeaderPriority, strconv.Itoa(enginePriority(j.envelope.Class)))
-	request.Header.Set(wire.HeaderRequestID, j.envelope.RequestID)
+	request.Header.Set(headers.HeaderPriority, strconv.Itoa(enginePriority(j.envelope.Class)))
+	request.Header.Set(headers.HeaderRequestID, j.envelope.RequestID)
 	requestedAt := a.suspendAwareNow()
 	response, err := transport.RoundTrip(request)
 	var excluded *eligibility.ExcludedError
--- a/internal/agent/exclusion.go
+++ b/internal/agent/exclusion.go
@@ -9,9 +9,9 @@
 	"github.com/crowbridge/crowbridge/internal/crash"
 	"github.com/crowbridge/crowbridge/internal/eligibility"
 	"github.com/crowbridge/crowbridge/internal/failure"
+	"github.com/crowbridge/crowbridge/internal/headers"
 	"github.com/crowbridge/crowbridge/internal/httpapi"
 	"github.com/crowbridge/crowbridge/internal/upstream"
-	"github.com/crowbridge/crowbridge/internal/wire"
 	"github.com/sirupsen/logrus"
 )
 
@@ -28,7 +28,7 @@
 // requests, which other servers may accept. The agent enforces the notice for all entries,
 // since all requests to the server pass it.
 func (a *Agent) recordReport(response *http.Response) {
-	leaving := httpapi.ReadFlag(response.Header, wire.HeaderServerLeaving)
+	leaving := httpapi.ReadFlag(response.Header, headers.HeaderServerLeaving)
 	rest, invalid := httpapi.ReadRest(response.StatusCode, response.Header)
 	if invalid != "" {
 		a.log.WithField("said", invalid).Warn("server sent an invalid Retry-After, ignored")
--- a/internal/agent/exclusion_test.go
+++ b/internal/agent/exclusion_test.go
@@ -11,8 +11,8 @@
 	"testing"
 	"time"
 
+	"github.com/crowbridge/crowbridge/internal/headers"
 	"github.com/crowbridge/crowbridge/internal/rpc"
-	"github.com/crowbridge/crowbridge/internal/wire"
 	. "github.com/onsi/gomega"
 )
 
@@ -70,7 +70,7 @@
 		response, _, err := b.try(q)
 		g.Expect(err).NotTo(HaveOccurred())
 		g.Expect(outcomeOf(response)).To(Equal("not-run"))
-		hint, err := time.ParseDuration(response.Header.Get(wire.HeaderRetryAfterMs) + "ms")
+		hint, err := time.ParseDuration(response.Header.Get(headers.HeaderRetryAfterMs) + "ms")
 		g.Expect(err).NotTo(HaveOccurred())
 		g.Expect(hint).To(BeNumerically(">", 30*time.Second))
 	}
@@ -83,7 +83,7 @@
 	var runs atomic.Int64
 	backend := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		runs.Add(1)
-		w.Header().Set(wire.HeaderServerLeaving, "1")
+		w.Header().Set(headers.HeaderServerLeaving, "1")
 		fmt.Fprint(w, "done")
 	}))
 	address := backend.Listener.Addr().String()
@@ -99,7 +99,7 @@
 	}
 	response, _, err := b.try(testRequest{key: newKey()})
 	g.Expect(err).NotTo(HaveOccurred())
-	g.Expect(response.Header.Get(wire.HeaderKeyClosed)).NotTo(BeEmpty(), "the key is closed for its next home")
+	g.Expect(response.Header.Get(headers.HeaderKeyClosed)).NotTo(BeEmpty(), "the key is closed for its next home")
 	g.Expect(runs.Load()).To(Equal(int64(1)))
 
 	// The next process at the address gets requests.
@@ -139,9 +139,9 @@
 		return reply.GetState()
 	}
 	g.Expect(probe()).To(Equal(rpc.EngineState_ENGINE_STATE_LISTENING), "a resting server is probed")
-	g.Expect(b.agent.checkSend(&job{envelope: &wire.Envelope{}})).To(HaveOccurred())
+	g.Expect(b.agent.checkSend(&job{envelope: &headers.Envelope{}})).To(HaveOccurred())
 	backend.Close()
 	g.Expect(probe()).To(Equal(rpc.EngineState_ENGINE_STATE_ENDED))
-	g.Expect(b.agent.checkSend(&job{envelope: &wire.Envelope{}})).To(Succeed())
+	g.Expect(b.agent.checkSend(&job{envelope: &headers.Envelope{}})).To(Succeed())
 	g.Expect(runs.Load()).To(Equal(int64(1)))
 }
--- a/internal/agent/handler.go
+++ b/internal/agent/handler.go
@@ -12,13 +12,13 @@
 
 	"github.com/crowbridge/crowbridge/internal/admission"
 	"github.com/crowbridge/crowbridge/internal/failure"
+	"github.com/crowbridge/crowbridge/internal/headers"
 	"github.com/crowbridge/crowbridge/internal/outcome"
-	"github.com/crowbridge/crowbridge/internal/wire"
 )
 
 // job is a request and its state in the agent.
 type job struct {
-	envelope *wire.Envelope
+	envelope *headers.Envelope
 	request  *http.Request
 	body     []byte
 	deadline time.Time
@@ -37,7 +37,7 @@
 
 // ServeHTTP serves a request from an entry.
 func (a *Agent) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	daemonKey := r.Header.Get(wire.HeaderAuth)
+	daemonKey := r.Header.Get(headers.HeaderAuth)
 	if subtle.ConstantTimeCompare([]byte(daemonKey), []byte(a.options.Key)) != 1 {
 		a.refuse(w, failure.NotRun(failure.StepAuthenticate, a.options.Server, failure.CodeUnauthorized, "wrong daemon key"))
 		return
@@ -59,16 +59,16 @@
 
 func (a *Agent) refuse(w http.ResponseWriter, f *failure.Error) {
 	a.setHeaders(w.Header())
-	wire.WriteFailure(w.Header(), f)
+	headers.WriteFailure(w.Header(), f)
 	w.WriteHeader(f.Status())
 }
 
 // setHeaders sets the headers that all responses carry.
 func (a *Agent) setHeaders(h http.Header) {
-	h.Set(wire.HeaderServer, a.options.Server)
-	h.Set(wire.HeaderIncarnation, a.incarnation)
-	h.Set(wire.HeaderLoad, a.Load().String())
-	wire.WriteRest(h, a.retryAfter())
+	h.Set(headers.HeaderServer, a.options.Server)
+	h.Set(headers.HeaderIncarnation, a.incarnation)
+	h.Set(headers.HeaderLoad, a.Load().String())
+	headers.WriteRest(h, a.retryAfter())
 }
 
 func (a *Agent) run(j *job) *failure.Error {
@@ -83,7 +83,7 @@
 }
 
 func (a *Agent) read(j *job) *failure.Error {
-	envelope, err := wire.ReadEnvelope(j.request.Header)
+	envelope, err := headers.ReadEnvelope(j.request.Header)
 	if err != nil {
 		return failure.NotRun(failure.StepParse, a.options.Server, failure.CodeInvalid, err.Error())
 	}
@@ -161,7 +161,7 @@
 		return failure.NotRun(failure.StepQueue, server, failure.CodeOverloaded,
 			"the table of idempotency keys is full").After(retryHint)
 	case outcome.DecisionClosed:
-		j.writer.Header().Set(wire.HeaderKeyClosed, "1")
+		j.writer.Header().Set(headers.HeaderKeyClosed, "1")
 		return failure.NotRun(failure.StepQueue, server, failure.CodeLeaving, "the server is leaving: the next home may run the key").After(retryHint)
 	default:
 		return failure.Unknown(failure.StepQueue, server, failure.CodeKeyUnresolved,
@@ -188,14 +188,14 @@
 }
 
 func (a *Agent) replay(j *job, response outcome.Response) {
-	j.writer.Header().Set(wire.HeaderReplayed, "1")
+	j.writer.Header().Set(headers.HeaderReplayed, "1")
 	a.write(j, response)
 }
 
 func (a *Agent) write(j *job, response outcome.Response) {
 	copyHeaders(j.writer.Header(), response.Header)
 	a.setHeaders(j.writer.Header())
-	j.writer.Header().Set(wire.HeaderOutcome, string(failure.OutcomeAnswered))
+	j.writer.Header().Set(headers.HeaderOutcome, string(failure.OutcomeAnswered))
 	j.headers = true
 	j.writer.WriteHeader(response.Status)
 	// A write error means that the entry disconnected; keyed responses are kept for retries.
--- a/internal/agent/ratelimit.go
+++ b/internal/agent/ratelimit.go
@@ -8,9 +8,9 @@
 	"github.com/crowbridge/crowbridge/internal/admission"
 	"github.com/crowbridge/crowbridge/internal/config"
 	"github.com/crowbridge/crowbridge/internal/failure"
+	"github.com/crowbridge/crowbridge/internal/headers"
 	"github.com/crowbridge/crowbridge/internal/httpapi"
 	"github.com/crowbridge/crowbridge/internal/ratelimit"
-	"github.com/crowbridge/crowbridge/internal/wire"
 	"github.com/sirupsen/logrus"
 )
 
@@ -26,7 +26,7 @@
 // recordLimit records the rate limit in a response to a request that was sent after
 // requestedAt.
 func (a *Agent) recordLimit(response *http.Response, requestedAt time.Time) {
-	limit, present, invalid := httpapi.ReadLimit(response.Header, wire.HeaderServerLimit)
+	limit, present, invalid := httpapi.ReadLimit(response.Header, headers.HeaderServerLimit)
 	if invalid != "" {
 		a.log.WithField("said", invalid).Warn("server sent an invalid rate limit, keeping the previous one")
 	}
--- a/internal/agent/ratelimit_test.go
+++ b/internal/agent/ratelimit_test.go
@@ -10,7 +10,7 @@
 
 	. "github.com/onsi/gomega"
 
-	"github.com/crowbridge/crowbridge/internal/wire"
+	"github.com/crowbridge/crowbridge/internal/headers"
 )
 
 // Guards against exceeding a server's rate limit with plain, keyed and idempotent requests.
@@ -35,7 +35,7 @@
 			continue
 		}
 		g.Expect(outcomeOf(response)).To(Equal("not-run"))
-		hint, err := time.ParseDuration(response.Header.Get(wire.HeaderRetryAfterMs) + "ms")
+		hint, err := time.ParseDuration(response.Header.Get(headers.HeaderRetryAfterMs) + "ms")
 		g.Expect(err).NotTo(HaveOccurred())
 		g.Expect(hint).To(BeNumerically(">", 0))
 	}
--- a/internal/entry/access_test.go
+++ b/internal/entry/access_test.go
@@ -8,8 +8,8 @@
 	"strings"
 	"time"
 
+	"github.com/crowbridge/crowbridge/internal/headers"
 	"github.com/crowbridge/crowbridge/internal/replica"
-	"github.com/crowbridge/crowbridge/internal/wire"
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 )
@@ -30,10 +30,10 @@
 		Entry("too many tokens", keyOfRozsa, "/v1/chat/completions", `{"model":"m","max_tokens":99999999,"prompt":"x"}`, nil, 400, "max_tokens"),
 		Entry("other model", keyOfRozsa, "/v1/chat/completions", `{"model":"other","prompt":"x"}`, nil, 404, "/v1/models"),
 		Entry("other path", keyOfRozsa, "/nowhere", "x", nil, 404, "route"),
-		Entry("class", keyOfRozsa, "/dispatch/x", "x", header{wire.HeaderClass: "soon"}, 400, "urgent, normal or patient"),
-		Entry("deadline", keyOfRozsa, "/dispatch/x", "x", header{wire.HeaderDeadline: "-1"}, 400, "milliseconds"),
-		Entry("flag", keyOfRozsa, "/dispatch/x", "x", header{wire.HeaderIdempotent: "perhaps"}, 400, "true or false"),
-		Entry("key too long", keyOfRozsa, "/dispatch/x", "x", header{wire.HeaderIdempotencyKey: strings.Repeat("k", 300)}, 400, "at most 255"),
+		Entry("class", keyOfRozsa, "/dispatch/x", "x", header{headers.HeaderClass: "soon"}, 400, "urgent, normal or patient"),
+		Entry("deadline", keyOfRozsa, "/dispatch/x", "x", header{headers.HeaderDeadline: "-1"}, 400, "milliseconds"),
+		Entry("flag", keyOfRozsa, "/dispatch/x", "x", header{headers.HeaderIdempotent: "perhaps"}, 400, "true or false"),
+		Entry("key too long", keyOfRozsa, "/dispatch/x", "x", header{headers.HeaderIdempotencyKey: strings.Repeat("k", 300)}, 400, "at most 255"),
 		Entry("body too large", keyOfRozsa, "/dispatch/x", strings.Repeat("x", 2<<20), nil, 413, "body size"),
 	)
 
@@ -64,7 +64,7 @@
 		release := make(chan struct{})
 		arrived := make(chan string, 1)
 		agent := fakeAgent(func(w http.ResponseWriter, r *http.Request) {
-			arrived <- r.Header.Get(wire.HeaderRequestID)
+			arrived <- r.Header.Get(headers.HeaderRequestID)
 			<-release
 			respondWith("mine")(w, r)
 		})
@@ -85,7 +85,7 @@
 		arrived := make(chan string, 1)
 		agent := fakeAgent(func(_ http.ResponseWriter, r *http.Request) {
 			_, _ = io.Copy(io.Discard, r.Body)
-			arrived <- r.Header.Get(wire.HeaderRequestID)
+			arrived <- r.Header.Get(headers.HeaderRequestID)
 			<-r.Context().Done()
 		})
 		f := newFixture([]string{agent}, nil)
--- a/internal/entry/backend.go
+++ b/internal/entry/backend.go
@@ -10,8 +10,8 @@
 	"sync/atomic"
 
 	"github.com/crowbridge/crowbridge/internal/dispatch"
+	"github.com/crowbridge/crowbridge/internal/headers"
 	"github.com/crowbridge/crowbridge/internal/upstream"
-	"github.com/crowbridge/crowbridge/internal/wire"
 	"github.com/pkg/errors"
 )
 
@@ -37,9 +37,9 @@
 	envelope := x.envelope()
 	envelope.Server, envelope.Budget = a.Server.ID, a.Timeout
 	envelope.Write(out.Header)
-	out.Header.Set(wire.HeaderAuth, e.options.DaemonKey)
+	out.Header.Set(headers.HeaderAuth, e.options.DaemonKey)
 	if a.Resume && a.ResumeAfter > 0 {
-		out.Header.Set(wire.HeaderLastEventID, strconv.FormatInt(a.ResumeAfter, 10))
+		out.Header.Set(headers.HeaderLastEventID, strconv.FormatInt(a.ResumeAfter, 10))
 	}
 	response, err := e.client.Do(out)
 	if checkErr := check.Err(); err != nil && checkErr != nil {
@@ -55,15 +55,15 @@
 func (e *Entry) readResponse(requestID, server string, response *http.Response) *dispatch.Response {
 	header := response.Header
 	e.recordLoad(server, header)
-	f := wire.ReadFailure(header, server)
+	f := headers.ReadFailure(header, server)
 	if f != nil {
 		e.recordServerFailure(server, f)
 	}
 	return &dispatch.Response{
 		Status: response.StatusCode, Header: header, Length: response.ContentLength, Body: response.Body,
 		Info: dispatch.ResponseInfo{
-			RequestID: requestID, Signed: true, Trusted: true, Failure: f, EventStream: isEventStream(header), TryNextHome: header.Get(wire.HeaderKeyClosed) != "",
-			RetryAfter: wire.ReadRest(header),
+			RequestID: requestID, Signed: true, Trusted: true, Failure: f, EventStream: isEventStream(header), TryNextHome: header.Get(headers.HeaderKeyClosed) != "",
+			RetryAfter: headers.ReadRest(header),
 		},
 	}
 }
--- a/internal/entry/chooser.go
+++ b/internal/entry/chooser.go
@@ -9,8 +9,8 @@
 	"github.com/crowbridge/crowbridge/internal/eligibility"
 	"github.com/crowbridge/crowbridge/internal/failure"
 	"github.com/crowbridge/crowbridge/internal/fleet"
+	"github.com/crowbridge/crowbridge/internal/headers"
 	"github.com/crowbridge/crowbridge/internal/routing"
-	"github.com/crowbridge/crowbridge/internal/wire"
 	"github.com/pkg/errors"
 )
 
@@ -135,13 +135,13 @@
 }
 
 func (e *Entry) recordLoad(server string, header http.Header) {
-	load, ok := wire.ParseLoad(header.Get(wire.HeaderLoad))
+	load, ok := headers.ParseLoad(header.Get(headers.HeaderLoad))
 	if !ok {
 		return
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.table.UpdateLoad(e.now(), server, header.Get(wire.HeaderIncarnation), load)
+	e.table.UpdateLoad(e.now(), server, header.Get(headers.HeaderIncarnation), load)
 }
 
 // isDialError reports whether the connection was never established.
--- a/internal/entry/entry_suite_test.go
+++ b/internal/entry/entry_suite_test.go
@@ -17,9 +17,9 @@
 	"github.com/crowbridge/crowbridge/internal/daemon"
 	"github.com/crowbridge/crowbridge/internal/entry"
 	"github.com/crowbridge/crowbridge/internal/failure"
+	"github.com/crowbridge/crowbridge/internal/headers"
 	"github.com/crowbridge/crowbridge/internal/httpapi"
 	"github.com/crowbridge/crowbridge/internal/replica"
-	"github.com/crowbridge/crowbridge/internal/wire"
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 	"github.com/sirupsen/logrus"
@@ -135,14 +135,14 @@
 
 func respondWith(body string) http.HandlerFunc {
 	return func(w http.ResponseWriter, _ *http.Request) {
-		w.Header().Set(wire.HeaderOutcome, string(failure.OutcomeAnswered))
+		w.Header().Set(headers.HeaderOutcome, string(failure.OutcomeAnswered))
 		_, _ = io.WriteString(w, body)
 	}
 }
 
 func refuseWith(f *failure.Error) http.HandlerFunc {
 	return func(w http.ResponseWriter, _ *http.Request) {
-		wire.WriteFailure(w.Header(), f)
+		headers.WriteFailure(w.Header(), f)
 		w.WriteHeader(f.Status())
 	}
 }
--- a/internal/entry/poll.go
+++ b/internal/entry/poll.go
@@ -6,9 +6,9 @@
 
 	"github.com/crowbridge/crowbridge/internal/crash"
 	"github.com/crowbridge/crowbridge/internal/fleet"
+	"github.com/crowbridge/crowbridge/internal/headers"
 	"github.com/crowbridge/crowbridge/internal/routing"
 	"github.com/crowbridge/crowbridge/internal/rpc"
-	"github.com/crowbridge/crowbridge/internal/wire"
 	"golang.org/x/sync/errgroup"
 )
 
@@ -76,7 +76,7 @@
 		e.recordUnreachable(row.Server.Name) // the address was reused
 		return
 	}
-	load := wire.Load{
+	load := headers.Load{
 		InFlight: int(report.InFlight), Queued: int(report.Queued), Limit: int(report.Limit),
 		Leaving: report.Leaving, ServiceTime: time.Duration(report.ServiceTimeUs) * time.Microsecond,
 	}
--- a/internal/entry/relay.go
+++ b/internal/entry/relay.go
@@ -12,8 +12,8 @@
 	"github.com/crowbridge/crowbridge/internal/dispatch"
 	"github.com/crowbridge/crowbridge/internal/failure"
 	"github.com/crowbridge/crowbridge/internal/fleet"
+	"github.com/crowbridge/crowbridge/internal/headers"
 	"github.com/crowbridge/crowbridge/internal/httpapi"
-	"github.com/crowbridge/crowbridge/internal/wire"
 	"github.com/pkg/errors"
 )
 
@@ -163,7 +163,7 @@
 	}
 	copyResponseHeaders(x, r.header)
 	x.ctx.SetStatusCode(r.status)
-	x.ctx.Response.Header.Set(wire.HeaderOutcome, string(failure.OutcomeAnswered))
+	x.ctx.Response.Header.Set(headers.HeaderOutcome, string(failure.OutcomeAnswered))
 	x.ctx.SetBody(r.body.Bytes())
 }
 
--- a/internal/entry/response.go
+++ b/internal/entry/response.go
@@ -4,12 +4,12 @@
 	"net/http"
 	"strings"
 
-	"github.com/crowbridge/crowbridge/internal/wire"
+	"github.com/crowbridge/crowbridge/internal/headers"
 )
 
 // forwardedHeaders are the X-Crowbridge headers that are forwarded to callers.
 var forwardedHeaders = map[string]bool{
-	wire.HeaderServer: true, wire.HeaderReplayed: true, wire.HeaderOutcome: true,
+	headers.HeaderServer: true, headers.HeaderReplayed: true, headers.HeaderOutcome: true,
 }
 
 // copyResponseHeaders copies a response's headers except internal and hop-by-hop ones.
--- a/internal/entry/serve.go
+++ b/internal/entry/serve.go
@@ -11,9 +11,9 @@
 
 	"github.com/crowbridge/crowbridge/internal/config"
 	"github.com/crowbridge/crowbridge/internal/failure"
+	"github.com/crowbridge/crowbridge/internal/headers"
 	"github.com/crowbridge/crowbridge/internal/httpapi"
 	"github.com/crowbridge/crowbridge/internal/selector"
-	"github.com/crowbridge/crowbridge/internal/wire"
 	"github.com/google/uuid"
 	"github.com/valyala/fasthttp"
 )
@@ -50,7 +50,7 @@
 
 func (e *Entry) serve(ctx *fasthttp.RequestCtx) {
 	x := &exchange{ctx: ctx, id: uuid.NewString()}
-	ctx.Response.Header.Set(wire.HeaderRequestID, x.id)
+	ctx.Response.Header.Set(headers.HeaderRequestID, x.id)
 	if e.stopping.Load() {
 		ctx.SetConnectionClose()
 	}
@@ -261,8 +261,8 @@
 }
 
 // envelope returns the request's metadata for agents.
-func (x *exchange) envelope() *wire.Envelope {
-	return &wire.Envelope{
+func (x *exchange) envelope() *headers.Envelope {
+	return &headers.Envelope{
 		RequestID: x.id, Customer: x.customer.Name, Weight: max(x.customer.Spec.Weight, 1),
 		Class: x.intent.Class, Idempotent: x.intent.Idempotent, Key: x.intent.Key, Cost: x.cost, Homes: x.homesOffset,
 	}
@@ -274,8 +274,8 @@
 func writeFailure(x *exchange, f *failure.Error) {
 	response := &x.ctx.Response
 	response.SetStatusCode(f.Status())
-	response.Header.Set(wire.HeaderRequestID, x.id)
-	response.Header.Set(wire.HeaderOutcome, string(f.Outcome))
+	response.Header.Set(headers.HeaderRequestID, x.id)
+	response.Header.Set(headers.HeaderOutcome, string(f.Outcome))
 	if f.RetryAfter > 0 {
 		response.Header.Set(fasthttp.HeaderRetryAfter, httpapi.RetryAfterSeconds(f.RetryAfter))
 	}
--- a/internal/wire/wire.go
+++ b/internal/headers/headers.go
@@ -1,6 +1,6 @@
-// Package wire defines the headers that requests carry between callers,
+// Package headers defines the headers that requests carry between callers,
 // entries, agents and backend servers.
-package wire
+package headers
 
 import (
 	"math"
--- a/internal/httpapi/httpapi.go
+++ b/internal/httpapi/httpapi.go
@@ -11,8 +11,8 @@
 	"github.com/cespare/xxhash/v2"
 	"github.com/crowbridge/crowbridge/internal/config"
 	"github.com/crowbridge/crowbridge/internal/failure"
+	"github.com/crowbridge/crowbridge/internal/headers"
 	"github.com/crowbridge/crowbridge/internal/outcome"
-	"github.com/crowbridge/crowbridge/internal/wire"
 	"github.com/pkg/errors"
 )
 
@@ -96,18 +96,18 @@
 // how far the caller's may be ahead of it.
 func ParseIntent(header HeaderReader, defaults Intent, now time.Time, skew time.Duration) (Intent, error) {
 	intent := defaults
-	if value := header(wire.HeaderClass); value != "" {
+	if value := header(headers.HeaderClass); value != "" {
 		intent.Class = config.Class(value)
 	}
 	switch intent.Class {
 	case config.ClassUrgent, config.ClassNormal, config.ClassPatient:
 	default:
-		return intent, errors.Errorf("%s: %q: use urgent, normal or patient", wire.HeaderClass, intent.Class)
+		return intent, errors.Errorf("%s: %q: use urgent, normal or patient", headers.HeaderClass, intent.Class)
 	}
-	if err := parseFlag(header, wire.HeaderIdempotent, &intent.Idempotent); err != nil {
+	if err := parseFlag(header, headers.HeaderIdempotent, &intent.Idempotent); err != nil {
 		return intent, err
 	}
-	if err := parseFlag(header, wire.HeaderMayWait, &intent.MayWait); err != nil {
+	if err := parseFlag(header, headers.HeaderMayWait, &intent.MayWait); err != nil {
 		return intent, err
 	}
 	if err := intent.parseDeadline(header); err != nil {
@@ -130,7 +130,7 @@
 }
 
 func (i *Intent) parseDeadline(header HeaderReader) error {
-	value := header(wire.HeaderDeadline)
+	value := header(headers.HeaderDeadline)
 	if value == "" {
 		if i.MayWait {
 			i.Deadline *= mayWaitFactor
@@ -139,20 +139,20 @@
 	}
 	ms, err := strconv.ParseInt(value, 10, 64)
 	if err != nil || ms < 1 || ms > maxDeadline.Milliseconds() {
-		return errors.Errorf("%s: %q: use 1 to %d milliseconds", wire.HeaderDeadline, value, maxDeadline.Milliseconds())
+		return errors.Errorf("%s: %q: use 1 to %d milliseconds", headers.HeaderDeadline, value, maxDeadline.Milliseconds())
 	}
 	i.Deadline = time.Duration(ms) * time.Millisecond
 	return nil
 }
 
 func (i *Intent) parseKey(header HeaderReader, now time.Time, skew time.Duration) error {
-	i.Key = header(wire.HeaderIdempotencyKey)
+	i.Key = header(headers.HeaderIdempotencyKey)
 	if len(i.Key) > maxKeyLength {
-		return errors.Errorf("%s: %d bytes: use at most %d", wire.HeaderIdempotencyKey, len(i.Key), maxKeyLength)
+		return errors.Errorf("%s: %d bytes: use at most %d", headers.HeaderIdempotencyKey, len(i.Key), maxKeyLength)
 	}
 	at, timed := outcome.KeyTime(i.Key)
 	if timed && at.After(now.Add(skew)) {
-		return errors.Errorf("%s: its time is %s ahead of ours: set the caller's clock", wire.HeaderIdempotencyKey, at.Sub(now).Round(time.Millisecond))
+		return errors.Errorf("%s: its time is %s ahead of ours: set the caller's clock", headers.HeaderIdempotencyKey, at.Sub(now).Round(time.Millisecond))
 	}
 	return nil
 }
--- a/internal/routing/table.go
+++ b/internal/routing/table.go
@@ -7,8 +7,8 @@
 	"time"
 
 	"github.com/crowbridge/crowbridge/internal/eligibility"
+	"github.com/crowbridge/crowbridge/internal/headers"
 	"github.com/crowbridge/crowbridge/internal/selector"
-	"github.com/crowbridge/crowbridge/internal/wire"
 )
 
 // Health is a server's availability as an entry sees it.
@@ -44,7 +44,7 @@
 	// Incarnation identifies the agent's process that sent the last report.
 	Incarnation string
 	// Reported is the agent's last load report.
-	Reported   wire.Load
+	Reported   headers.Load
 	ReportedAt time.Time
 	// PolledAt is the time of the last poll of the agent.
 	PolledAt time.Time
@@ -155,7 +155,7 @@
 
 // UpdateLoad applies an agent's load report. Once an agent has reported leaving, only another
 // incarnation can clear it.
-func (t *Table) UpdateLoad(now time.Time, name, incarnation string, load wire.Load) {
+func (t *Table) UpdateLoad(now time.Time, name, incarnation string, load headers.Load) {
 	row := t.rows[name]
 	if row == nil {
 		return
--- a/standins/bench/routing.go
+++ b/standins/bench/routing.go
@@ -7,9 +7,9 @@
 	"time"
 
 	"github.com/crowbridge/crowbridge/internal/config"
+	"github.com/crowbridge/crowbridge/internal/headers"
 	"github.com/crowbridge/crowbridge/internal/routing"
 	"github.com/crowbridge/crowbridge/internal/selector"
-	"github.com/crowbridge/crowbridge/internal/wire"
 )
 
 var benchStart = time.Date(2026, 6, 1, 10, 0, 0, 0, time.UTC)
@@ -34,7 +34,7 @@
 	}
 	table.Sync(byName)
 	for _, s := range servers {
-		table.UpdateLoad(benchStart, s.Name, "1", wire.Load{Limit: 8, ServiceTime: 10 * time.Millisecond})
+		table.UpdateLoad(benchStart, s.Name, "1", headers.Load{Limit: 8, ServiceTime: 10 * time.Millisecond})
 	}
 	return table
 }
@@ -151,7 +151,7 @@
 		busy := s.busy(i)
 		took := time.Duration(float64(simService) * s.servers[i].factor)
 		for _, table := range s.tables {
-			table.UpdateLoad(s.now, server.Name, "1", wire.Load{
+			table.UpdateLoad(s.now, server.Name, "1", headers.Load{
 				InFlight: min(busy, simSlots), Queued: max(busy-simSlots, 0), Limit: simSlots, ServiceTime: took,
 			})
 		}
