--- a/internal/config/state.go
+++ b/internal/config/state.go
@@ -261,9 +261,9 @@
 
 func (o *overlay) set(change Change) bool {
 	id := string(change.Kind) + "/" + change.Name
-	_, twice := o.changed[id]
+	_, duplicate := o.changed[id]
 	o.changed[id] = change.Object
-	return !twice
+	return !duplicate
 }
 
 func (o *overlay) get(kind Kind, name string) *Object {
--- a/internal/membership/exchange.go
+++ b/internal/membership/exchange.go
@@ -137,7 +137,7 @@
 	return now.Sub(at).Milliseconds() + 1
 }
 
-// Pull merges what the peer knows and this daemon lacks.
+// Pull requests from the peer what this daemon lacks and merges it.
 func (e *Exchange) Pull(ctx context.Context, peer string) error { return e.pull(ctx, peer, false) }
 
 // PullServers is like Pull but leaves the configuration out, since a large one would saturate the
--- a/internal/membership/follower.go
+++ b/internal/membership/follower.go
@@ -143,7 +143,7 @@
 
 // OnReachable sets a callback that runs when the store becomes reachable. It must be called before
 // the follower runs.
-func (f *Follower) OnReachable(call func()) { f.onReachable = call }
+func (f *Follower) OnReachable(callback func()) { f.onReachable = callback }
 
 // Unreachable returns a channel that receives a value when the store becomes unreachable.
 func (f *Follower) Unreachable() <-chan struct{} { return f.unreachable }
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -25,7 +25,7 @@
 
 // Membership is a daemon's copy of the configuration and the registrations. The version of the
 // configuration never decreases. It is safe for concurrent use. OnServers callbacks run while its
-// lock is held; they must not call back.
+// lock is held.
 type Membership struct {
 	decoder Decoder
 	now     func() time.Time
--- a/internal/membership/reader.go
+++ b/internal/membership/reader.go
@@ -21,20 +21,20 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	now := e.members.now()
-	first := e.self.Control
+	lowest := e.self.Control
 	for address, known := range e.peers {
 		if known.zone != e.self.Zone || address == e.self.Control || now.Sub(known.lastSeen) > peerExpiry {
 			continue
 		}
 		shared = true
-		if address < first && now.After(known.avoidUntil) {
-			first = address
+		if address < lowest && now.After(known.avoidUntil) {
+			lowest = address
 		}
 	}
-	if first == e.self.Control {
+	if lowest == e.self.Control {
 		return "", shared
 	}
-	return first, shared
+	return lowest, shared
 }
 
 // ReadsForZone implements ZoneReader.
--- a/internal/membership/restoredstore_property_test.go
+++ b/internal/membership/restoredstore_property_test.go
@@ -173,8 +173,8 @@
 			"copy": func(*rapid.T) {
 				w.copied = [topicCount]int{len(w.store.records[TopicOperators]), len(w.store.records[TopicServers])}
 			},
-			"come back": func(*rapid.T) { w.store.restoreCopy(w.copied[TopicOperators], w.copied[TopicServers]) },
-			"start":     func(t *rapid.T) { w.start(drawDaemon(t)) },
+			"come back from copy": func(*rapid.T) { w.store.restoreCopy(w.copied[TopicOperators], w.copied[TopicServers]) },
+			"start":               func(t *rapid.T) { w.start(drawDaemon(t)) },
 		})
 		w.checkConvergence(t)
 	})
--- a/internal/replica/persist.go
+++ b/internal/replica/persist.go
@@ -16,7 +16,7 @@
 	// waits up to twice as long at random, so that usually only one writes.
 	persistInterval = time.Second
 	// maxPersistInterval is how often the state is persisted if only events were recorded. It must
-	// be well below the log's retention, which is 300 s in the users' deployment.
+	// be well below the log's retention of 300 s.
 	maxPersistInterval = 60 * time.Second
 	// persistTimeout limits one attempt.
 	persistTimeout = 3 * time.Second
--- a/internal/replica/replica.go
+++ b/internal/replica/replica.go
@@ -193,7 +193,8 @@
 // HasSynced reports whether the end of the log has been read since the start.
 func (r *Replica) HasSynced() bool { return r.LogAge() < neverConfirmed }
 
-// EntriesAfter returns the retained records after a position.
+// EntriesAfter returns the retained records after a position. Gone is set if the first of them is no
+// longer retained.
 func (r *Replica) EntriesAfter(known storelog.Position) Batch {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/replica/replica_test.go
+++ b/internal/replica/replica_test.go
@@ -43,7 +43,7 @@
 	from      *Replica
 	down      atomic.Bool
 	age       atomic.Int64 // milliseconds
-	asked     atomic.Int64
+	reads     atomic.Int64
 	waited    atomic.Int64 // wait of the last read
 	truncated bool         // only a snapshot is left
 }
@@ -51,7 +51,7 @@
 func (f *fakeSource) Name() string { return f.name }
 
 func (f *fakeSource) Records(_ context.Context, after storelog.Position, wait time.Duration) (Batch, error) {
-	f.asked.Add(1)
+	f.reads.Add(1)
 	f.waited.Store(int64(wait))
 	if f.down.Load() {
 		return Batch{}, errors.New("down")
@@ -153,8 +153,8 @@
 		Eventually(r.Position, "5s").Should(Equal(storelog.Position(9)))
 		second.down.Store(true)
 		first.age.Store(0)
-		asked := first.asked.Load()
-		Eventually(first.asked.Load, "5s").Should(BeNumerically(">", asked))
+		reads := first.reads.Load()
+		Eventually(first.reads.Load, "5s").Should(BeNumerically(">", reads))
 		Expect(r.Position()).To(Equal(storelog.Position(9)))
 	})
 
--- a/internal/replica/restore_property_test.go
+++ b/internal/replica/restore_property_test.go
@@ -162,14 +162,14 @@
 		drawReplica := func(t *rapid.T) int { return rapid.IntRange(0, replicas-1).Draw(t, "replica") }
 		read := func(t *rapid.T) { w.step(t, drawReplica(t)) }
 		t.Repeat(map[string]func(*rapid.T){
-			"change":       w.change,
-			"change again": w.change,
-			"read":         read,
-			"read again":   read,
-			"read on":      read,
-			"copy":         func(*rapid.T) { w.log.copied = len(w.log.entries) },
-			"come back":    func(*rapid.T) { w.log.restoreCopy() },
-			"start":        func(t *rapid.T) { w.start(drawReplica(t)) },
+			"change":              w.change,
+			"change again":        w.change,
+			"read":                read,
+			"read again":          read,
+			"read on":             read,
+			"copy":                func(*rapid.T) { w.log.copied = len(w.log.entries) },
+			"come back from copy": func(*rapid.T) { w.log.restoreCopy() },
+			"start":               func(t *rapid.T) { w.start(drawReplica(t)) },
 		})
 		for range 3 * replicas {
 			for i := range replicas {
