--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -89,14 +89,14 @@
 }
 
 // do sends a request. It returns nil if there is no response.
-func (b *fixture) do(q testRequest) (*http.Response, string) {
-	response, body, err := b.try(q)
+func (f *fixture) do(q testRequest) (*http.Response, string) {
+	response, body, err := f.try(q)
 	Expect(err).NotTo(HaveOccurred())
 	return response, body
 }
 
 // try is do without assertions, for use outside of Ginkgo.
-func (b *fixture) try(q testRequest) (*http.Response, string, error) {
+func (f *fixture) try(q testRequest) (*http.Response, string, error) {
 	if q.ctx == nil {
 		q.ctx = context.Background()
 	}
@@ -106,7 +106,7 @@
 	if q.id == "" {
 		q.id = uuid.NewString()
 	}
-	request, err := http.NewRequestWithContext(q.ctx, http.MethodPost, b.server.URL+"/dispatch/x", bytes.NewBufferString(q.body))
+	request, err := http.NewRequestWithContext(q.ctx, http.MethodPost, f.server.URL+"/dispatch/x", bytes.NewBufferString(q.body))
 	if err != nil {
 		return nil, "", err
 	}
@@ -131,10 +131,10 @@
 var _ = Describe("keyed requests", func() {
 	It("run once and replay the recorded response to retries", func() {
 		var runs atomic.Int64
-		b := newFixture(func(w http.ResponseWriter, _ *http.Request) { fmt.Fprintf(w, "run %d", runs.Add(1)) }, 4)
+		f := newFixture(func(w http.ResponseWriter, _ *http.Request) { fmt.Fprintf(w, "run %d", runs.Add(1)) }, 4)
 		key := newKey()
 		for i := range 3 {
-			response, body := b.do(testRequest{key: key, body: "x"})
+			response, body := f.do(testRequest{key: key, body: "x"})
 			Expect(outcomeOf(response)).To(Equal("answered"))
 			Expect(body).To(Equal("run 1"))
 			Expect(response.Header.Get(headers.HeaderReplayed) == "1").To(Equal(i > 0))
@@ -144,66 +144,66 @@
 
 	It("are scoped to the customer and bound to the request body", func() {
 		var runs atomic.Int64
-		b := newFixture(func(w http.ResponseWriter, _ *http.Request) { fmt.Fprintf(w, "run %d", runs.Add(1)) }, 4)
+		f := newFixture(func(w http.ResponseWriter, _ *http.Request) { fmt.Fprintf(w, "run %d", runs.Add(1)) }, 4)
 		key := newKey()
-		_, first := b.do(testRequest{key: key, body: "x", customer: "one"})
-		_, second := b.do(testRequest{key: key, body: "x", customer: "two"})
+		_, first := f.do(testRequest{key: key, body: "x", customer: "one"})
+		_, second := f.do(testRequest{key: key, body: "x", customer: "two"})
 		Expect(first).NotTo(Equal(second))
-		response, _ := b.do(testRequest{key: key, body: "other", customer: "one"})
+		response, _ := f.do(testRequest{key: key, body: "other", customer: "one"})
 		Expect(response.StatusCode).To(Equal(http.StatusConflict))
 	})
 
 	It("wait for a running request with the same key", func() {
 		backend := newHeldBackend()
-		b := newFixture(backend.serve, 4)
+		f := newFixture(backend.serve, 4)
 		key := newKey()
-		answers := make(chan string, 2)
+		bodies := make(chan string, 2)
 		for range 2 {
 			go func() {
 				defer GinkgoRecover()
-				_, body := b.do(testRequest{key: key, body: "x"})
-				answers <- body
+				_, body := f.do(testRequest{key: key, body: "x"})
+				bodies <- body
 			}()
 		}
 		<-backend.arrived
 		close(backend.release)
-		Expect(<-answers).To(Equal("done"))
-		Expect(<-answers).To(Equal("done"))
+		Expect(<-bodies).To(Equal("done"))
+		Expect(<-bodies).To(Equal("done"))
 		Expect(backend.runs.Load()).To(Equal(int64(1)))
 	})
 
 	It("continue when the entry disconnects and keep the response for a retry", func() {
 		backend := newHeldBackend()
-		b := newFixture(backend.serve, 4)
+		f := newFixture(backend.serve, 4)
 		key := newKey()
 		ctx, disconnect := context.WithCancel(context.Background())
-		go b.do(testRequest{key: key, body: "x", ctx: ctx})
+		go f.do(testRequest{key: key, body: "x", ctx: ctx})
 		<-backend.arrived
 		disconnect()
 		close(backend.release)
-		Eventually(func() string { _, body := b.do(testRequest{key: key, body: "x"}); return body }, "5s").Should(Equal("done"))
+		Eventually(func() string { _, body := f.do(testRequest{key: key, body: "x"}); return body }, "5s").Should(Equal("done"))
 		Expect(backend.runs.Load()).To(Equal(int64(1)))
 	})
 
 	It("stay unknown when the server drops the connection", func() {
 		var runs atomic.Int64
-		b := newFixture(func(http.ResponseWriter, *http.Request) { runs.Add(1); panic(http.ErrAbortHandler) }, 4)
+		f := newFixture(func(http.ResponseWriter, *http.Request) { runs.Add(1); panic(http.ErrAbortHandler) }, 4)
 		key := newKey()
 		for range 3 {
-			response, _ := b.do(testRequest{key: key, body: "x"})
+			response, _ := f.do(testRequest{key: key, body: "x"})
 			Expect(outcomeOf(response)).To(Equal("unknown"))
 		}
 		Expect(runs.Load()).To(Equal(int64(1)))
 	})
 
 	It("return the response headers, also on replay", func() {
-		b := newFixture(func(w http.ResponseWriter, _ *http.Request) {
+		f := newFixture(func(w http.ResponseWriter, _ *http.Request) {
 			w.Header().Set("X-Receipt", "42")
 			w.WriteHeader(http.StatusCreated)
 		}, 4)
 		key := newKey()
 		for range 2 {
-			response, _ := b.do(testRequest{key: key, body: "x"})
+			response, _ := f.do(testRequest{key: key, body: "x"})
 			Expect(response.StatusCode).To(Equal(http.StatusCreated))
 			Expect(response.Header.Get("X-Receipt")).To(Equal("42"))
 		}
@@ -211,53 +211,53 @@
 
 	It("are refused from an entry with different homes unless the key is known", func() {
 		var runs atomic.Int64
-		b := newFixture(func(w http.ResponseWriter, _ *http.Request) { fmt.Fprintf(w, "run %d", runs.Add(1)) }, 4)
+		f := newFixture(func(w http.ResponseWriter, _ *http.Request) { fmt.Fprintf(w, "run %d", runs.Add(1)) }, 4)
 		knownKey := newKey()
-		b.do(testRequest{key: knownKey, body: "x"})
-		b.agent.Configure(Configuration{
+		f.do(testRequest{key: knownKey, body: "x"})
+		f.agent.Configure(Configuration{
 			Policy: config.Policy{ClockSkewMs: 1}.WithDefaults(), MaxConcurrency: 4,
 			HomesChange: config.HomesChange{Offset: 7, TimeMs: time.Now().UnixMilli()},
 		})
-		response, _ := b.do(testRequest{key: newKey(), body: "x"}) // the entry is at offset 0
+		response, _ := f.do(testRequest{key: newKey(), body: "x"}) // the entry is at offset 0
 		Expect(response.Header.Get(headers.HeaderCode)).To(Equal("stale-configuration"))
-		_, body := b.do(testRequest{key: knownKey, body: "x"})
+		_, body := f.do(testRequest{key: knownKey, body: "x"})
 		Expect(body).To(Equal("run 1"))
 		Expect(runs.Load()).To(Equal(int64(1)))
 	})
 
 	It("are closed at a draining server unless the key is known", func() {
-		b := newFixture(func(w http.ResponseWriter, _ *http.Request) { fmt.Fprint(w, "ran") }, 4)
+		f := newFixture(func(w http.ResponseWriter, _ *http.Request) { fmt.Fprint(w, "ran") }, 4)
 		knownKey := newKey()
-		b.do(testRequest{key: knownKey, body: "x"})
-		b.agent.Configure(Configuration{Policy: config.Policy{ClockSkewMs: 1}.WithDefaults(), MaxConcurrency: 4, Draining: true})
-		response, _ := b.do(testRequest{key: newKey(), body: "x"})
+		f.do(testRequest{key: knownKey, body: "x"})
+		f.agent.Configure(Configuration{Policy: config.Policy{ClockSkewMs: 1}.WithDefaults(), MaxConcurrency: 4, Draining: true})
+		response, _ := f.do(testRequest{key: newKey(), body: "x"})
 		Expect(response.Header.Get(headers.HeaderKeyClosed)).To(Equal("1"))
-		_, body := b.do(testRequest{key: knownKey, body: "x"})
+		_, body := f.do(testRequest{key: knownKey, body: "x"})
 		Expect(body).To(Equal("ran"))
 	})
 
 	It("report a dropped connection as server-lost", func() {
-		b := newFixture(func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }, 4)
-		response, _ := b.do(testRequest{body: "x"})
+		f := newFixture(func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }, 4)
+		response, _ := f.do(testRequest{body: "x"})
 		Expect(response.Header.Get(headers.HeaderCode)).To(Equal("server-lost"))
 	})
 
 	It("are unknown if created before the agent started", func() {
 		var runs atomic.Int64
-		b := newFixture(func(http.ResponseWriter, *http.Request) { runs.Add(1) }, 4)
+		f := newFixture(func(http.ResponseWriter, *http.Request) { runs.Add(1) }, 4)
 		old := uuid.Must(uuid.NewV7())
 		old[3]-- // at least 65 seconds
 		old[2]--
-		response, _ := b.do(testRequest{key: old.String(), body: "x"})
+		response, _ := f.do(testRequest{key: old.String(), body: "x"})
 		Expect(outcomeOf(response)).To(Equal("unknown"))
 		Expect(runs.Load()).To(BeZero())
 	})
 
 	It("may be retried when the server refused the connection", func() {
-		b := newFixtureFor("http://127.0.0.1:1", 4)
+		f := newFixtureFor("http://127.0.0.1:1", 4)
 		key := newKey()
 		for range 2 {
-			response, _ := b.do(testRequest{key: key, body: "x"})
+			response, _ := f.do(testRequest{key: key, body: "x"})
 			Expect(outcomeOf(response)).To(Equal("not-run"))
 		}
 	})
@@ -265,13 +265,13 @@
 
 var _ = Describe("requests", func() {
 	It("abort the response when the server drops a stream", func() {
-		b := newFixture(func(w http.ResponseWriter, _ *http.Request) {
+		f := newFixture(func(w http.ResponseWriter, _ *http.Request) {
 			w.Header().Set("Content-Type", "text/event-stream")
 			fmt.Fprint(w, "id: 1\ndata: x\n\n")
 			_ = http.NewResponseController(w).Flush()
 			panic(http.ErrAbortHandler)
 		}, 4)
-		request, err := http.NewRequest(http.MethodPost, b.server.URL+"/x", nil)
+		request, err := http.NewRequest(http.MethodPost, f.server.URL+"/x", nil)
 		Expect(err).NotTo(HaveOccurred())
 		(&headers.Envelope{RequestID: "r", Weight: 1, Budget: time.Second, Cost: 1, Server: "s1"}).Write(request.Header)
 		request.Header.Set(headers.HeaderAuth, "daemon")
@@ -280,38 +280,38 @@
 		defer response.Body.Close()
 		_, err = io.ReadAll(response.Body)
 		Expect(err).To(HaveOccurred())
-		Expect(b.agent.OutcomeCounts().Unknown).To(Equal(int64(1)))
+		Expect(f.agent.OutcomeCounts().Unknown).To(Equal(int64(1)))
 	})
 
 	It("are not run if the caller disconnects while they are queued", func() {
 		backend := newHeldBackend()
-		b := newFixture(backend.serve, 1)
-		go b.do(testRequest{body: "first"})
+		f := newFixture(backend.serve, 1)
+		go f.do(testRequest{body: "first"})
 		<-backend.arrived
-		ctx, leave := context.WithCancel(context.Background())
-		go b.do(testRequest{body: "second", ctx: ctx})
-		Eventually(func() int { return b.agent.Load().Queued }, "5s").Should(Equal(1))
-		leave()
-		Eventually(func() int64 { return b.agent.OutcomeCounts().NotRun }, "5s").Should(Equal(int64(1)))
+		ctx, disconnect := context.WithCancel(context.Background())
+		go f.do(testRequest{body: "second", ctx: ctx})
+		Eventually(func() int { return f.agent.Load().Queued }, "5s").Should(Equal(1))
+		disconnect()
+		Eventually(func() int64 { return f.agent.OutcomeCounts().NotRun }, "5s").Should(Equal(int64(1)))
 		close(backend.release)
-		Eventually(func() int64 { return b.agent.OutcomeCounts().Answered }, "5s").Should(Equal(int64(1)))
+		Eventually(func() int64 { return f.agent.OutcomeCounts().Answered }, "5s").Should(Equal(int64(1)))
 		Expect(backend.runs.Load()).To(Equal(int64(1)))
 	})
 
 	It("are refused with Retry-After when their deadline passes in the queue", func() {
 		backend := newHeldBackend()
-		b := newFixture(backend.serve, 1)
-		go b.do(testRequest{body: "first"})
+		f := newFixture(backend.serve, 1)
+		go f.do(testRequest{body: "first"})
 		<-backend.arrived
-		response, _ := b.do(testRequest{body: "second", budget: 30 * time.Millisecond})
+		response, _ := f.do(testRequest{body: "second", budget: 30 * time.Millisecond})
 		Expect(outcomeOf(response)).To(Equal("not-run"))
 		Expect(response.Header.Get(headers.HeaderRetryAfterMs)).NotTo(BeEmpty())
 		close(backend.release)
 	})
 
 	It("for another server are refused", func() {
-		b := newFixture(func(http.ResponseWriter, *http.Request) {}, 1)
-		request, err := http.NewRequest(http.MethodPost, b.server.URL+"/x", nil)
+		f := newFixture(func(http.ResponseWriter, *http.Request) {}, 1)
+		request, err := http.NewRequest(http.MethodPost, f.server.URL+"/x", nil)
 		Expect(err).NotTo(HaveOccurred())
 		(&headers.Envelope{Weight: 1, Budget: time.Second, Cost: 1, Server: "other"}).Write(request.Header)
 		request.Header.Set(headers.HeaderAuth, "daemon")
@@ -322,8 +322,8 @@
 	})
 
 	It("without the daemon key are refused", func() {
-		b := newFixture(func(http.ResponseWriter, *http.Request) {}, 1)
-		response, err := http.Post(b.server.URL, "", nil)
+		f := newFixture(func(http.ResponseWriter, *http.Request) {}, 1)
+		response, err := http.Post(f.server.URL, "", nil)
 		Expect(err).NotTo(HaveOccurred())
 		defer response.Body.Close()
 		Expect(response.StatusCode).To(Equal(http.StatusUnauthorized))
@@ -332,32 +332,32 @@
 
 var _ = Describe("Configure", func() {
 	It("changes the limit of a running agent", func() {
-		b := newFixture(func(http.ResponseWriter, *http.Request) {}, 4)
-		Expect(b.agent.Load().Limit).To(Equal(4))
-		b.agent.Configure(Configuration{Policy: config.Policy{}.WithDefaults(), MaxConcurrency: 2})
-		Expect(b.agent.Load().Limit).To(Equal(2))
+		f := newFixture(func(http.ResponseWriter, *http.Request) {}, 4)
+		Expect(f.agent.Load().Limit).To(Equal(4))
+		f.agent.Configure(Configuration{Policy: config.Policy{}.WithDefaults(), MaxConcurrency: 2})
+		Expect(f.agent.Load().Limit).To(Equal(2))
 	})
 })
 
 var _ = Describe("Leave", func() {
 	It("finishes running requests, refuses new ones, closes keys and reports leaving", func() {
 		backend := newHeldBackend()
-		b := newFixture(backend.serve, 4)
+		f := newFixture(backend.serve, 4)
 		first := make(chan string, 1)
 		go func() {
 			defer GinkgoRecover()
-			_, body := b.do(testRequest{body: "x"})
+			_, body := f.do(testRequest{body: "x"})
 			first <- body
 		}()
 		<-backend.arrived
-		idle := b.agent.Leave()
+		idle := f.agent.Leave()
 		Consistently(idle, "50ms").ShouldNot(BeClosed())
-		response, _ := b.do(testRequest{body: "y"})
+		response, _ := f.do(testRequest{body: "y"})
 		Expect(outcomeOf(response)).To(Equal("not-run"))
 		Expect(response.Header.Get(headers.HeaderCode)).To(Equal("leaving"))
 		load, ok := headers.ParseLoad(response.Header.Get(headers.HeaderLoad))
 		Expect(ok && load.Leaving).To(BeTrue())
-		response, _ = b.do(testRequest{body: "z", key: newKey()})
+		response, _ = f.do(testRequest{body: "z", key: newKey()})
 		Expect(response.Header.Get(headers.HeaderKeyClosed)).To(Equal("1"))
 		close(backend.release)
 		Expect(<-first).To(Equal("done"))
--- a/internal/agent/exclusion_test.go
+++ b/internal/agent/exclusion_test.go
@@ -39,14 +39,14 @@
 	release := make(chan struct{})
 	backend := httptest.NewServer(restingBackend(&runs, release))
 	t.Cleanup(backend.Close)
-	b := newFixtureWithCleanup(t.Cleanup, backend.URL, 1)
+	f := newFixtureWithCleanup(t.Cleanup, backend.URL, 1)
 
 	// One request runs and two are queued, one of them keyed, when the server asks for rest.
 	var group sync.WaitGroup
 	responses := make(chan *http.Response, 3)
 	send := func(q testRequest) {
 		group.Go(func() {
-			response, _, err := b.try(q)
+			response, _, err := f.try(q)
 			if err != nil {
 				t.Error(err)
 			}
@@ -57,7 +57,7 @@
 	g.Eventually(runs.Load).Should(Equal(int64(1)))
 	send(testRequest{idempotent: true})
 	send(testRequest{key: newKey()})
-	g.Eventually(func() int { return b.agent.Load().Queued }).Should(Equal(2))
+	g.Eventually(func() int { return f.agent.Load().Queued }).Should(Equal(2))
 	close(release)
 	group.Wait()
 	for range 3 {
@@ -67,7 +67,7 @@
 
 	// Later requests are refused immediately with Retry-After.
 	for _, q := range []testRequest{{}, {idempotent: true}, {key: newKey()}} {
-		response, _, err := b.try(q)
+		response, _, err := f.try(q)
 		g.Expect(err).NotTo(HaveOccurred())
 		g.Expect(outcomeOf(response)).To(Equal("not-run"))
 		hint, err := time.ParseDuration(response.Header.Get(headers.HeaderRetryAfterMs) + "ms")
@@ -87,9 +87,9 @@
 		fmt.Fprint(w, "done")
 	}))
 	address := backend.Listener.Addr().String()
-	b := newFixtureWithCleanup(t.Cleanup, backend.URL, 1)
+	f := newFixtureWithCleanup(t.Cleanup, backend.URL, 1)
 	status := func() int {
-		response, _, err := b.try(testRequest{idempotent: true})
+		response, _, err := f.try(testRequest{idempotent: true})
 		g.Expect(err).NotTo(HaveOccurred())
 		return response.StatusCode
 	}
@@ -97,7 +97,7 @@
 	for range 5 {
 		g.Expect(status()).To(Equal(http.StatusServiceUnavailable))
 	}
-	response, _, err := b.try(testRequest{key: newKey()})
+	response, _, err := f.try(testRequest{key: newKey()})
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(response.Header.Get(headers.HeaderKeyClosed)).NotTo(BeEmpty(), "the key is closed for its next home")
 	g.Expect(runs.Load()).To(Equal(int64(1)))
@@ -106,9 +106,9 @@
 	backend.Close()
 	g.Eventually(func() bool {
 		status() // the agent checks for an exit on requests
-		b.agent.mu.Lock()
-		defer b.agent.mu.Unlock()
-		return b.agent.exclusion() == nil
+		f.agent.mu.Lock()
+		defer f.agent.mu.Unlock()
+		return f.agent.exclusion() == nil
 	}, "10s").Should(BeTrue())
 	listener, err := net.Listen("tcp", address)
 	g.Expect(err).NotTo(HaveOccurred())
@@ -129,19 +129,19 @@
 		w.Header().Set("Retry-After", longRest)
 		w.WriteHeader(http.StatusServiceUnavailable)
 	}))
-	b := newFixtureWithCleanup(t.Cleanup, backend.URL, 1)
-	_, _, err := b.try(testRequest{})
+	f := newFixtureWithCleanup(t.Cleanup, backend.URL, 1)
+	_, _, err := f.try(testRequest{})
 	g.Expect(err).NotTo(HaveOccurred())
-	control := &ControlServer{Agent: b.agent}
+	control := &ControlServer{Agent: f.agent}
 	probe := func() rpc.EngineState {
 		reply, err := control.Engine(context.Background(), &rpc.EngineRequest{})
 		g.Expect(err).NotTo(HaveOccurred())
 		return reply.GetState()
 	}
 	g.Expect(probe()).To(Equal(rpc.EngineState_ENGINE_STATE_LISTENING), "a resting server is probed")
-	g.Expect(b.agent.checkSend(&job{envelope: &headers.Envelope{}})).To(HaveOccurred())
+	g.Expect(f.agent.checkSend(&job{envelope: &headers.Envelope{}})).To(HaveOccurred())
 	backend.Close()
 	g.Expect(probe()).To(Equal(rpc.EngineState_ENGINE_STATE_ENDED))
-	g.Expect(b.agent.checkSend(&job{envelope: &headers.Envelope{}})).To(Succeed())
+	g.Expect(f.agent.checkSend(&job{envelope: &headers.Envelope{}})).To(Succeed())
 	g.Expect(runs.Load()).To(Equal(int64(1)))
 }
--- a/internal/agent/ratelimit_test.go
+++ b/internal/agent/ratelimit_test.go
@@ -23,13 +23,13 @@
 		fmt.Fprint(w, "done")
 	}))
 	t.Cleanup(backend.Close)
-	b := newFixtureWithCleanup(t.Cleanup, backend.URL, 4)
+	f := newFixtureWithCleanup(t.Cleanup, backend.URL, 4)
 	for n := range 40 {
 		q := testRequest{idempotent: n%3 == 0}
 		if n%3 == 1 {
 			q.key = newKey()
 		}
-		response, _, err := b.try(q)
+		response, _, err := f.try(q)
 		g.Expect(err).NotTo(HaveOccurred())
 		if response.StatusCode == http.StatusOK {
 			continue
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -162,7 +162,7 @@
 		e.cancelInFlight()
 		time.AfterFunc(finalResponseTime, cancel)
 	})()
-	return errors.Wrap(e.server.ShutdownWithContext(bounded), "stop: requests in flight")
+	return errors.Wrap(e.server.ShutdownWithContext(bounded), "drain requests in flight")
 }
 
 // cancelInFlight cancels every request in flight.
--- a/internal/entry/entry_test.go
+++ b/internal/entry/entry_test.go
@@ -248,7 +248,7 @@
 			close(canceled)
 		})
 		f := newFixture([]string{agent}, nil)
-		ctx, leave := context.WithCancel(context.Background())
+		ctx, disconnect := context.WithCancel(context.Background())
 		request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+f.address+"/v1/chat/completions", strings.NewReader(streamed))
 		Expect(err).NotTo(HaveOccurred())
 		request.Header.Set("Authorization", "Bearer "+keyOfTulipan)
@@ -256,7 +256,7 @@
 		Expect(err).NotTo(HaveOccurred())
 		_, err = io.ReadFull(response.Body, make([]byte, 8))
 		Expect(err).NotTo(HaveOccurred())
-		leave()
+		disconnect()
 		Eventually(canceled, "5s").Should(BeClosed())
 		Eventually(func() int64 { return f.entry.OutcomeCounts().InFlight }).Should(BeZero())
 	})
@@ -278,13 +278,13 @@
 			close(canceled)
 		})
 		f := newFixture([]string{agent}, nil)
-		ctx, leave := context.WithCancel(context.Background())
+		ctx, disconnect := context.WithCancel(context.Background())
 		request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+f.address+"/v1/chat/completions", strings.NewReader(completion))
 		Expect(err).NotTo(HaveOccurred())
 		request.Header.Set("Authorization", "Bearer "+keyOfTulipan)
 		go func() { _, _ = http.DefaultClient.Do(request) }()
 		Eventually(arrived, "5s").Should(BeClosed())
-		leave()
+		disconnect()
 		Eventually(canceled, "5s").Should(BeClosed())
 	})
 })
@@ -341,7 +341,7 @@
 
 var _ = Describe("a request that crashes servers", func() {
 	It("is quarantined after two crashes, and other requests are served", func() {
-		var ended atomic.Int64
+		var crashes atomic.Int64
 		control := rpc.NewAgentsServer(exitedEngine{})
 		agent := func(w http.ResponseWriter, r *http.Request) {
 			body, err := io.ReadAll(r.Body)
@@ -349,8 +349,8 @@
 			case strings.HasPrefix(r.URL.Path, control.PathPrefix()):
 				r.Body = io.NopCloser(strings.NewReader(string(body)))
 				control.ServeHTTP(w, r)
-			case err == nil && strings.Contains(string(body), "ends its server"):
-				ended.Add(1)
+			case err == nil && strings.Contains(string(body), "crash the server"):
+				crashes.Add(1)
 				refuseWith(failure.Unknown(failure.StepRun, "", failure.CodeServerLost, "EOF"))(w, r)
 			default:
 				respondWith("served")(w, r)
@@ -358,10 +358,10 @@
 		}
 		f := newFixture(nil, []string{fakeAgent(agent), fakeAgent(agent), fakeAgent(agent), fakeAgent(agent)})
 		Eventually(func() string {
-			_, body := f.post(keyOfRozsa, "/dispatch/x", "ends its server", nil)
+			_, body := f.post(keyOfRozsa, "/dispatch/x", "crash the server", nil)
 			return failureIn(body).Code
 		}, "10s", "300ms").Should(Equal("quarantined"))
-		Expect(ended.Load()).To(Equal(int64(2)))
+		Expect(crashes.Load()).To(Equal(int64(2)))
 		_, body := f.post(keyOfTulipan, "/dispatch/x", "another", nil)
 		Expect(body).To(Equal("served"))
 	})
