--- a/standins/hosted/connections_test.go
+++ b/standins/platformdaemon/connections_test.go
@@ -1,4 +1,4 @@
-package hosted_test
+package platformdaemon_test
 
 import (
 	"fmt"
--- a/standins/hosted/hosted_test.go
+++ b/standins/platformdaemon/platformdaemon_test.go
@@ -1,6 +1,6 @@
-// Package hosted_test runs the daemons of the users' platform in process against
+// Package platformdaemon_test runs the daemons of the users' platform in process against
 // stand-ins of the store, of servers and of engines in lock-step.
-package hosted_test
+package platformdaemon_test
 
 import (
 	"context"
@@ -27,9 +27,9 @@
 	logrustest "github.com/sirupsen/logrus/hooks/test"
 )
 
-func TestHosted(t *testing.T) {
+func TestPlatformDaemons(t *testing.T) {
 	RegisterFailHandler(Fail)
-	RunSpecs(t, "hosted")
+	RunSpecs(t, "platform daemons")
 }
 
 const (
