--- a/standins/bench/rebalance.go
+++ b/standins/bench/rebalance.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"github.com/crowbridge/crowbridge/internal/rebalance"
-	"github.com/crowbridge/crowbridge/standins/trace"
+	"github.com/crowbridge/crowbridge/standins/popularitytrace"
 )
 
 // weightings are what operators weigh more: skew, or the cost of moves.
@@ -65,20 +65,20 @@
 
 // simulation is one policy at work on one trace.
 type simulation struct {
-	options   trace.Options
+	options   popularitytrace.Options
 	policy    planPolicy
 	placement *rebalance.Placement
 	estimate  rebalance.Popularity
 	run       rebalanceRun
 }
 
-func runPolicy(o trace.Options, policy planPolicy) rebalanceRun {
+func runPolicy(o popularitytrace.Options, policy planPolicy) rebalanceRun {
 	placement, err := rebalance.NewPlacement(o.Shape)
 	if err != nil {
 		panic(err) // the shapes are ours
 	}
 	s := &simulation{options: o, policy: policy, placement: placement}
-	t := trace.New(o)
+	t := popularitytrace.New(o)
 	for interval := range o.Intervals {
 		truth, measured := t.Next()
 		s.interval(interval, truth, measured, speedsAt(o, straggler, interval))
@@ -118,7 +118,7 @@
 }
 
 // speedsAt slows one rank to half its speed in the trace's third quarter.
-func speedsAt(o trace.Options, straggler, interval int) []float64 {
+func speedsAt(o popularitytrace.Options, straggler, interval int) []float64 {
 	speeds := make([]float64, o.Shape.Ranks)
 	for rank := range speeds {
 		speeds[rank] = 1
@@ -131,12 +131,12 @@
 
 // Rebalance measures skew and loads at two sizes.
 func (r *Reporter) Rebalance() {
-	small := trace.Options{
+	small := popularitytrace.Options{
 		Shape:     rebalance.Shape{Ranks: 16, Experts: 64, Layers: 8, Slots: 8},
 		Intervals: 576, IntervalsPerDay: 288, Zipf: 0.9, Drift: 0.02, Season: 0.5, Noise: 0.05,
 		PeakAt: 400, PeakLength: 30, PeakFactor: 6, Seed: 7,
 	}
-	large := trace.Options{
+	large := popularitytrace.Options{
 		Shape:     rebalance.Shape{Ranks: 256, Experts: 256, Layers: 60, Slots: 4},
 		Intervals: 60, IntervalsPerDay: 288, Zipf: 0.9, Drift: 0.02, Season: 0.5, Noise: 0.05,
 		PeakAt: 40, PeakLength: 8, PeakFactor: 6, Seed: 7,
@@ -165,7 +165,7 @@
 		{Ranks: 256, Experts: 256, Layers: 60, Slots: 4},
 	} {
 		name := fmt.Sprintf("rebalance/jump-%dx%dx%d", shape.Ranks, shape.Experts, shape.Layers)
-		popularity, _ := trace.New(trace.Options{Shape: shape, Intervals: 1, IntervalsPerDay: 1, Zipf: 1.3, Seed: 7}).Next()
+		popularity, _ := popularitytrace.New(popularitytrace.Options{Shape: shape, Intervals: 1, IntervalsPerDay: 1, Zipf: 1.3, Seed: 7}).Next()
 		placement, err := rebalance.NewPlacement(shape)
 		if err != nil {
 			panic(err) // the shapes are ours
@@ -174,7 +174,7 @@
 		whole, _ := planAfter(placement, popularity, options)
 		options.Timing = rebalance.Timing{Copy: copyTime, Switch: switchTime}
 		first, took := planAfter(placement, popularity, options)
-		speeds := speedsAt(trace.Options{Shape: shape}, -1, 0)
+		speeds := speedsAt(popularitytrace.Options{Shape: shape}, -1, 0)
 		r.Figure(name+"/plan", took.Seconds()*1000, "ms")
 		r.Figure(name+"/skew-before", placement.Skew(popularity, speeds), "x")
 		r.Against(name+"/skew-after", first.Skew(popularity, speeds), "x", whole.Skew(popularity, speeds))
@@ -185,7 +185,7 @@
 // planAfter returns what a new planner makes of a placement, and how long it took.
 func planAfter(placement *rebalance.Placement, popularity rebalance.Popularity, options rebalance.Options) (*rebalance.Placement, time.Duration) {
 	planner, next := rebalance.NewPlanner(placement.Shape), placement.Clone()
-	speeds := speedsAt(trace.Options{Shape: placement.Shape}, -1, 0)
+	speeds := speedsAt(popularitytrace.Options{Shape: placement.Shape}, -1, 0)
 	start := time.Now()
 	moves := planner.Plan(placement, popularity, speeds, options)
 	took := time.Since(start)
@@ -193,7 +193,7 @@
 	return next, took
 }
 
-func (r *Reporter) rebalanceAt(name string, o trace.Options) {
+func (r *Reporter) rebalanceAt(name string, o popularitytrace.Options) {
 	still := runPolicy(o, never)
 	full := runPolicy(o, repack)
 	r.Figure(name+"/never/skew-p99", Quantile(still.skews, 0.99), "x")
@@ -210,7 +210,7 @@
 }
 
 // curve prints skew against loads over the price of a move.
-func (r *Reporter) curve(name string, o trace.Options) {
+func (r *Reporter) curve(name string, o popularitytrace.Options) {
 	planner := rebalance.NewPlanner(o.Shape)
 	for _, price := range []float64{0.03, 0.06, 0.12, 0.25, 0.5, 1, 2, 4} {
 		run := runPolicy(o, planned(planner, rebalance.Options{SkewWeight: 1, CostWeight: price, MaxMoves: 1 << 20, TargetRatio: goodEnough}))
@@ -220,8 +220,8 @@
 }
 
 // planningTime measures one plan in steady state and one from nothing.
-func (r *Reporter) planningTime(o trace.Options) {
-	t := trace.New(o)
+func (r *Reporter) planningTime(o popularitytrace.Options) {
+	t := popularitytrace.New(o)
 	placement, err := rebalance.NewPlacement(o.Shape)
 	if err != nil {
 		panic(err) // the shapes are ours
--- a/standins/cmd/days/main.go
+++ b/standins/cmd/days/main.go
@@ -11,7 +11,7 @@
 	"path/filepath"
 	"strings"
 
-	"github.com/crowbridge/crowbridge/standins/dayreport"
+	"github.com/crowbridge/crowbridge/standins/runreport"
 	"github.com/pkg/errors"
 	"github.com/urfave/cli/v3"
 )
@@ -33,7 +33,7 @@
 }
 
 func run(_ context.Context, c *cli.Command) error {
-	var sets []dayreport.Set
+	var sets []runreport.Set
 	for _, flag := range c.StringSlice("set") {
 		set, err := readSet(flag)
 		if err != nil {
@@ -41,27 +41,27 @@
 		}
 		sets = append(sets, set)
 	}
-	if err := dayreport.Table(os.Stdout, sets); err != nil {
+	if err := runreport.Table(os.Stdout, sets); err != nil {
 		return err
 	}
 	if path := c.String("plot"); path != "" {
-		return dayreport.Plot(path, c.String("title"), sets)
+		return runreport.Plot(path, c.String("title"), sets)
 	}
 	return nil
 }
 
-func readSet(flag string) (dayreport.Set, error) {
+func readSet(flag string) (runreport.Set, error) {
 	name, pattern, found := strings.Cut(flag, "=")
 	if !found {
-		return dayreport.Set{}, errors.Errorf("--set %s: use NAME=PATTERN", flag)
+		return runreport.Set{}, errors.Errorf("--set %s: use NAME=PATTERN", flag)
 	}
 	paths, err := filepath.Glob(pattern)
 	if err != nil || len(paths) == 0 {
-		return dayreport.Set{}, errors.Errorf("--set %s: no file has this pattern", flag)
+		return runreport.Set{}, errors.Errorf("--set %s: no file has this pattern", flag)
 	}
-	set := dayreport.Set{Name: name}
+	set := runreport.Set{Name: name}
 	for _, path := range paths {
-		report, err := dayreport.Read(path)
+		report, err := runreport.Read(path)
 		if err != nil {
 			return set, err
 		}
--- a/standins/cmd/demo/main.go
+++ b/standins/cmd/demo/main.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"github.com/crowbridge/crowbridge/standins/harness"
-	"github.com/crowbridge/crowbridge/standins/load"
+	"github.com/crowbridge/crowbridge/standins/loadgen"
 	"github.com/pkg/errors"
 )
 
@@ -53,7 +53,7 @@
 func drive(cluster *harness.Cluster) error {
 	done := make(chan error, 1)
 	go func() { done <- faults(cluster) }()
-	report, err := load.Run(context.Background(), load.Options{
+	report, err := loadgen.Run(context.Background(), loadgen.Options{
 		Entries: cluster.Callers(), Keys: cluster.Keys, Rate: 80, Duration: 14 * time.Second, Tokens: 10,
 		PlainPercent: 40, StreamPercent: 30, UnkeyedPercent: 20, RunsURL: cluster.PlatformURL, DeadlineMs: 10000, Asks: 20,
 	})
--- a/standins/cmd/standin/main.go
+++ b/standins/cmd/standin/main.go
@@ -11,10 +11,10 @@
 	"time"
 
 	"github.com/crowbridge/crowbridge/standins/engine"
-	"github.com/crowbridge/crowbridge/standins/load"
-	"github.com/crowbridge/crowbridge/standins/plain"
+	"github.com/crowbridge/crowbridge/standins/faultproxy"
+	"github.com/crowbridge/crowbridge/standins/loadgen"
+	"github.com/crowbridge/crowbridge/standins/plainserver"
 	"github.com/crowbridge/crowbridge/standins/platform"
-	"github.com/crowbridge/crowbridge/standins/relay"
 	"github.com/pkg/errors"
 	"github.com/urfave/cli/v3"
 	"golang.org/x/sync/errgroup"
@@ -123,7 +123,7 @@
 	return &cli.Command{
 		Name: "plain", Flags: serverFlags(),
 		Action: func(_ context.Context, cmd *cli.Command) error {
-			return serve(cmd, plain.Handler(plain.Options{
+			return serve(cmd, plainserver.Handler(plainserver.Options{
 				Name: cmd.String("name"), Work: cmd.Duration("step"),
 				Recorder: &engine.Recorder{URL: cmd.String("recorder")},
 				Exit:     func() { os.Exit(exitEnded) },
@@ -152,7 +152,7 @@
 			&cli.StringFlag{Name: "listen", Usage: "IP:port of the control port; empty for none"},
 		},
 		Action: func(_ context.Context, cmd *cli.Command) error {
-			r := relay.New()
+			r := faultproxy.New()
 			var tasks errgroup.Group
 			if address := cmd.String("listen"); address != "" {
 				tasks.Go(func() error { return serveAt(address, r.Control()) })
@@ -180,7 +180,7 @@
 			&cli.StringFlag{Name: "runs"},
 		},
 		Action: func(ctx context.Context, cmd *cli.Command) error {
-			report, err := load.Run(ctx, load.Options{
+			report, err := loadgen.Run(ctx, loadgen.Options{
 				Entries: cmd.StringSlice("entry"), Keys: cmd.StringSlice("key"),
 				Rate: cmd.Int("rate"), Duration: cmd.Duration("duration"), Tokens: cmd.Int("tokens"),
 				PlainPercent: cmd.Int("plain"), StreamPercent: cmd.Int("stream"), UnkeyedPercent: cmd.Int("unkeyed"),
--- a/standins/relay/relay.go
+++ b/standins/faultproxy/faultproxy.go
@@ -1,7 +1,7 @@
 // Package relay is a loopback proxy between processes. When its process dies,
 // connections are refused; when it's frozen, they hang; and it can delay, reset,
 // silence or cut one way what passes through it.
-package relay
+package faultproxy
 
 import (
 	"io"
--- a/standins/harness/cluster.go
+++ b/standins/harness/cluster.go
@@ -10,7 +10,7 @@
 	"time"
 
 	"github.com/crowbridge/crowbridge/standins/engine"
-	"github.com/crowbridge/crowbridge/standins/relay"
+	"github.com/crowbridge/crowbridge/standins/faultproxy"
 	"github.com/pkg/errors"
 )
 
@@ -137,7 +137,9 @@
 }
 
 // ProxyMode sets what the relay between entries and agents does.
-func (c *Cluster) ProxyMode(mode relay.Mode) error { return put(c.proxyURL+"/mode/"+string(mode), "") }
+func (c *Cluster) ProxyMode(mode faultproxy.Mode) error {
+	return put(c.proxyURL+"/mode/"+string(mode), "")
+}
 
 // Fault sets a fault at the platform, such as `log` with a JSON body.
 func (c *Cluster) Fault(path, body string) error {
--- a/standins/load/load.go
+++ b/standins/loadgen/loadgen.go
@@ -1,6 +1,6 @@
 // Package load sends requests of several customers to entries and checks every
 // answer: whole, the caller's own, run at most once, and not run when told so.
-package load
+package loadgen
 
 import (
 	"bytes"
--- a/standins/plain/plain.go
+++ b/standins/plainserver/plainserver.go
@@ -1,6 +1,6 @@
 // Package plain is a small stand-in for a plain service whose calls must not be
 // repeated, such as slot confirmations or register entries.
-package plain
+package plainserver
 
 import (
 	"bytes"
--- a/standins/trace/trace.go
+++ b/standins/popularitytrace/popularitytrace.go
@@ -1,7 +1,7 @@
 // Package trace generates expert popularity over a day: a skewed base, slow
 // drift, the day's season, a sharp holiday peak, and noise. The same seed gives
 // the same trace.
-package trace
+package popularitytrace
 
 import (
 	"math"
--- a/standins/dayreport/dayreport.go
+++ b/standins/runreport/runreport.go
@@ -1,6 +1,6 @@
 // Package dayreport reads reports of played load and trouble, and says where callers
 // lost what they were owed: by cause, and by second.
-package dayreport
+package runreport
 
 import (
 	"encoding/json"
--- a/standins/dayreport/dayreport_test.go
+++ b/standins/runreport/runreport_test.go
@@ -1,4 +1,4 @@
-package dayreport
+package runreport
 
 import (
 	"os"
--- a/standins/scenarios/scenarios_test.go
+++ b/standins/scenarios/scenarios_test.go
@@ -17,9 +17,9 @@
 	"testing"
 	"time"
 
+	"github.com/crowbridge/crowbridge/standins/faultproxy"
 	"github.com/crowbridge/crowbridge/standins/harness"
-	"github.com/crowbridge/crowbridge/standins/load"
-	"github.com/crowbridge/crowbridge/standins/relay"
+	"github.com/crowbridge/crowbridge/standins/loadgen"
 	"github.com/rogpeppe/go-internal/testscript"
 )
 
@@ -27,12 +27,12 @@
 type running struct {
 	cluster *harness.Cluster
 	loads   chan loadResult
-	options load.Options
+	options loadgen.Options
 	saved   map[string]string
 }
 
 type loadResult struct {
-	report *load.Report
+	report *loadgen.Report
 	err    error
 }
 
@@ -199,15 +199,15 @@
 // cmdLoad starts traffic in the background: load seconds=5 [rate=60] [plain=40] [stream=30] [unkeyed=20] [tokens=10] [deadline=20000] [customers=3]
 func cmdLoad(ts *testscript.TestScript, _ bool, args []string) {
 	r, v := of(ts), settings(ts, args)
-	r.options = load.Options{
+	r.options = loadgen.Options{
 		Entries: r.cluster.Callers(), Keys: r.cluster.Keys, RunsURL: r.cluster.PlatformURL,
 		Rate: valueOr(v, "rate", 60), Duration: time.Duration(valueOr(v, "seconds", 5)) * time.Second,
 		Tokens: valueOr(v, "tokens", 10), PlainPercent: valueOr(v, "plain", 40), StreamPercent: valueOr(v, "stream", 30),
 		UnkeyedPercent: valueOr(v, "unkeyed", 20), DeadlineMs: valueOr(v, "deadline", 20000), Asks: valueOr(v, "asks", 30),
 	}
 	r.loads = make(chan loadResult, 1)
-	go func(options load.Options, done chan<- loadResult) {
-		report, err := load.Run(context.Background(), options)
+	go func(options loadgen.Options, done chan<- loadResult) {
+		report, err := loadgen.Run(context.Background(), options)
 		done <- loadResult{report, err}
 	}(r.options, r.loads)
 }
@@ -286,7 +286,7 @@
 	if len(args) != 1 {
 		ts.Fatalf("name one mode")
 	}
-	ts.Check(of(ts).cluster.ProxyMode(relay.Mode(args[0])))
+	ts.Check(of(ts).cluster.ProxyMode(faultproxy.Mode(args[0])))
 }
 
 // cmdVM sets what the platform's list says: vm NAME live|leaving
--- a/standins/soak/ending.go
+++ b/standins/soak/ending.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"github.com/crowbridge/crowbridge/standins/harness"
-	"github.com/crowbridge/crowbridge/standins/plain"
+	"github.com/crowbridge/crowbridge/standins/plainserver"
 	"github.com/pkg/errors"
 )
 
@@ -75,7 +75,9 @@
 }
 
 // ask sends the request to an entry that runs. How it ends doesn't matter.
-func (c *endingCaller) ask(ctx context.Context) { askOnce(ctx, c.cluster, c.random, plain.EndsOn) }
+func (c *endingCaller) ask(ctx context.Context) {
+	askOnce(ctx, c.cluster, c.random, plainserver.EndsOn)
+}
 
 // askOnce sends a plain call with a body to an entry that runs, if there is one.
 func askOnce(ctx context.Context, cluster *harness.Cluster, random *rand.Rand, body string) {
--- a/standins/soak/faults.go
+++ b/standins/soak/faults.go
@@ -7,8 +7,8 @@
 	"strings"
 	"syscall"
 
+	"github.com/crowbridge/crowbridge/standins/faultproxy"
 	"github.com/crowbridge/crowbridge/standins/harness"
-	"github.com/crowbridge/crowbridge/standins/relay"
 	"github.com/pkg/errors"
 )
 
@@ -60,17 +60,17 @@
 }
 
 func proxied(r *run) (string, func() error, func() error) {
-	mode := relay.Modes[r.random.IntN(len(relay.Modes))]
+	mode := faultproxy.Modes[r.random.IntN(len(faultproxy.Modes))]
 	// What was held back is lost, as often as not: the requests have run, and nobody
 	// gets their answers.
 	lost := r.random.IntN(2) == 0
 	return string(mode) + " proxy", func() error { return r.cluster.ProxyMode(mode) }, func() error {
 		if lost {
-			if err := r.cluster.ProxyMode(relay.Reset); err != nil {
+			if err := r.cluster.ProxyMode(faultproxy.Reset); err != nil {
 				return err
 			}
 		}
-		return r.cluster.ProxyMode(relay.Pass)
+		return r.cluster.ProxyMode(faultproxy.Pass)
 	}
 }
 
--- a/standins/soak/resting.go
+++ b/standins/soak/resting.go
@@ -11,7 +11,7 @@
 	"time"
 
 	"github.com/crowbridge/crowbridge/standins/harness"
-	"github.com/crowbridge/crowbridge/standins/plain"
+	"github.com/crowbridge/crowbridge/standins/plainserver"
 	"github.com/pkg/errors"
 )
 
@@ -40,7 +40,7 @@
 
 // run asks until the context ends.
 func (c *restingCaller) run(ctx context.Context) {
-	words := []string{plain.RestsOn, plain.LimitsOn}
+	words := []string{plainserver.RestsOn, plainserver.LimitsOn}
 	for n := 0; ctx.Err() == nil; n++ {
 		askOnce(ctx, c.cluster, c.random, words[n%len(words)])
 		time.Sleep(restEach)
@@ -77,7 +77,7 @@
 		return errors.Wrap(err, "runs")
 	}
 	for name, count := range runs {
-		rest, against := strings.CutPrefix(name, plain.AgainstWord+"-")
+		rest, against := strings.CutPrefix(name, plainserver.AgainstWord+"-")
 		if !against {
 			continue
 		}
@@ -98,7 +98,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, s := range c.harmed["agent-"+server] {
-		if s.from.Before(began.Add(max(plain.RestTime, plain.LimitTime))) && (s.to.IsZero() || s.to.After(began)) {
+		if s.from.Before(began.Add(max(plainserver.RestTime, plainserver.LimitTime))) && (s.to.IsZero() || s.to.After(began)) {
 			return true
 		}
 	}
--- a/standins/soak/soak.go
+++ b/standins/soak/soak.go
@@ -13,7 +13,7 @@
 	"time"
 
 	"github.com/crowbridge/crowbridge/standins/harness"
-	"github.com/crowbridge/crowbridge/standins/load"
+	"github.com/crowbridge/crowbridge/standins/loadgen"
 	"github.com/pkg/errors"
 )
 
@@ -82,12 +82,12 @@
 		options: o, cluster: cluster, random: rand.New(rand.NewPCG(o.Seed, 1)), began: time.Now(), changed: map[string]int{},
 	}
 	type loaded struct {
-		report *load.Report
+		report *loadgen.Report
 		err    error
 	}
 	done := make(chan loaded, 1)
 	go func() {
-		report, err := load.Run(context.Background(), load.Options{
+		report, err := loadgen.Run(context.Background(), loadgen.Options{
 			Entries: cluster.Callers(), Keys: cluster.Keys, RunsURL: cluster.PlatformURL, Rate: rate, Duration: o.Length + tail,
 			Tokens: 10, PlainPercent: 50, StreamPercent: 30, UnkeyedPercent: 30, DeadlineMs: int(requestDeadline / time.Millisecond), Asks: 20,
 		})
