--- a/standins/bench/admission.go
+++ b/standins/bench/admission.go
@@ -193,9 +193,9 @@
 			half = p99
 		}
 		r.Figure(name+"/urgent-p50", Quantile(s.urgent, 0.5), "ms")
-		r.Against(name+"/urgent-p99", p99, "ms", half)
+		r.Compare(name+"/urgent-p99", p99, "ms", half)
 		kept := 100 * float64(s.urgentKept) / float64(s.urgentSent)
-		r.Against(name+"/urgent-in-time", kept, "%", s.fifoKept(load))
+		r.Compare(name+"/urgent-in-time", kept, "%", s.fifoKept(load))
 	}
 	r.jain()
 	r.goodput()
@@ -236,7 +236,7 @@
 		s.run([]*arrival{{customer: "c", class: config.ClassNormal, every: per(load * capacity / urgentCost), deadline: time.Second, cost: urgentCost}}, time.Minute)
 		good := s.good / 60 / capacity * 100
 		peak = max(peak, good)
-		r.Against(fmt.Sprintf("admission/goodput-%g", load), good, "%", peak)
+		r.Compare(fmt.Sprintf("admission/goodput-%g", load), good, "%", peak)
 	}
 }
 
--- a/standins/bench/bench.go
+++ b/standins/bench/bench.go
@@ -36,7 +36,7 @@
 }
 
 // Against prints a value beside the baseline's.
-func (r *Reporter) Against(name string, value float64, unit string, baseline float64) {
+func (r *Reporter) Compare(name string, value float64, unit string, baseline float64) {
 	ratio := 0.0
 	if baseline != 0 {
 		ratio = value / baseline
--- a/standins/bench/control.go
+++ b/standins/bench/control.go
@@ -40,8 +40,8 @@
 		zones = append(zones, fmt.Sprintf("z%d", i))
 	}
 	cluster, err := harness.New(harness.Layout{
-		Zones: zones, EntriesPerZone: entriesPerZone, EnginesPerZone: serversPerZone, Step: time.Millisecond,
-		KeyWindowSeconds: 60, ClockSkewMs: 50, Drain: time.Second, Quiet: true, NoBackends: true,
+		Zones: zones, EntriesPerZone: entriesPerZone, EnginesPerZone: serversPerZone, StepTime: time.Millisecond,
+		KeyWindowSeconds: 60, ClockSkewMs: 50, DrainTimeout: time.Second, Quiet: true, NoBackends: true,
 	}, bin, dir)
 	if err != nil {
 		return nil, err
@@ -134,7 +134,7 @@
 // inForce appends changes and measures until every entry has each, against a
 // process that polls the log once a second.
 func (r *Reporter) inForce(cluster *harness.Cluster, name, faults string) error {
-	if err := cluster.Fault("/fault/log", faults); err != nil {
+	if err := cluster.InjectFault("/fault/log", faults); err != nil {
 		return err
 	}
 	client := daemon.NewControlClient(harness.DaemonKey)
@@ -149,7 +149,7 @@
 		var mu sync.Mutex
 		for _, e := range cluster.Entries {
 			group.Go(func() {
-				awaitPosition(client, e.Control, at)
+				awaitPosition(client, e.ControlAddress, at)
 				mu.Lock()
 				defer mu.Unlock()
 				times = append(times, time.Since(start).Seconds()*1000)
@@ -162,10 +162,10 @@
 	for i := range 1000 {
 		polled = append(polled, float64(i)) // a poll once a second finds a change after 0 to 1000 ms
 	}
-	r.Against(name+"/p50", Quantile(times, 0.5), "ms", Quantile(polled, 0.5))
-	r.Against(name+"/p99", Quantile(times, 0.99), "ms", Quantile(polled, 0.99))
-	r.Against(name+"/worst", Quantile(times, 1), "ms", Quantile(polled, 1))
-	return cluster.Fault("/fault/log", "{}")
+	r.Compare(name+"/p50", Quantile(times, 0.5), "ms", Quantile(polled, 0.5))
+	r.Compare(name+"/p99", Quantile(times, 0.99), "ms", Quantile(polled, 0.99))
+	r.Compare(name+"/worst", Quantile(times, 1), "ms", Quantile(polled, 1))
+	return cluster.InjectFault("/fault/log", "{}")
 }
 
 func awaitPosition(client *http.Client, control string, at storelog.Position) {
@@ -191,7 +191,7 @@
 func (r *Reporter) freshVM(cluster *harness.Cluster, name string) error {
 	entry := cluster.Entries[0]
 	for _, log := range []struct{ name, faults string }{{"with-log", "{}"}, {"without-log", `{"down":true}`}} {
-		if err := cluster.Fault("/fault/log", log.faults); err != nil {
+		if err := cluster.InjectFault("/fault/log", log.faults); err != nil {
 			return err
 		}
 		var times []float64
@@ -203,14 +203,14 @@
 			if err := cluster.Processes[entry.Name].Start(); err != nil {
 				return err
 			}
-			for !ready(entry.Metrics()) {
+			for !ready(entry.MetricsAddress()) {
 				time.Sleep(2 * time.Millisecond)
 			}
 			times = append(times, time.Since(start).Seconds()*1000)
 		}
 		r.Figure(name+"/fresh-entry-ready-"+log.name, Quantile(times, 0.5), "ms")
 	}
-	return cluster.Fault("/fault/log", "{}")
+	return cluster.InjectFault("/fault/log", "{}")
 }
 
 func ready(address string) bool {
--- a/standins/bench/group.go
+++ b/standins/bench/group.go
@@ -21,8 +21,8 @@
 
 func (r *Reporter) groupIn(bin, dir string) error {
 	cluster, err := harness.New(harness.Layout{
-		Zones: []string{"a", "b"}, EntriesPerZone: 2, RanksPerZone: 2, Step: 6 * time.Millisecond,
-		KeyWindowSeconds: 60, ClockSkewMs: 50, Drain: time.Second,
+		Zones: []string{"a", "b"}, EntriesPerZone: 2, RanksPerZone: 2, StepTime: 6 * time.Millisecond,
+		KeyWindowSeconds: 60, ClockSkewMs: 50, DrainTimeout: time.Second,
 	}, bin, dir)
 	if err != nil {
 		return err
@@ -42,7 +42,7 @@
 
 func awaitVersions(cluster *harness.Cluster, n int) error {
 	for end := time.Now().Add(groupTimeout); time.Now().Before(end); time.Sleep(groupPoll) {
-		state, err := cluster.Group()
+		state, err := cluster.GroupState()
 		if err != nil {
 			return err
 		}
@@ -54,35 +54,35 @@
 }
 
 func (r *Reporter) stalls(cluster *harness.Cluster) error {
-	before, err := cluster.Group()
+	before, err := cluster.GroupState()
 	if err != nil {
 		return err
 	}
 	time.Sleep(groupLength)
-	after, err := cluster.Group()
+	after, err := cluster.GroupState()
 	if err != nil {
 		return err
 	}
-	if after.Mixed > 0 {
-		return errors.Errorf("%d passes with two maps", after.Mixed)
+	if after.MixedPasses > 0 {
+		return errors.Errorf("%d passes with two maps", after.MixedPasses)
 	}
 	steps := int(after.Passes - before.Passes)
 	gaps := make([]float64, 0, steps)
-	for _, gap := range after.GapsUs[max(0, len(after.GapsUs)-steps):] {
+	for _, gap := range after.PassIntervalsUs[max(0, len(after.PassIntervalsUs)-steps):] {
 		gaps = append(gaps, float64(gap)/1000)
 	}
 	middle := Quantile(gaps, 0.5)
 	r.Figure("group/4-ranks/passes", float64(steps), "passes")
 	r.Figure("group/4-ranks/switches", float64(len(after.Maps)-len(before.Maps)), "switches")
 	r.Figure("group/4-ranks/pass-p50", middle, "ms")
-	r.Against("group/4-ranks/pass-p99", Quantile(gaps, 0.99), "ms", middle)
-	r.Against("group/4-ranks/pass-worst", Quantile(gaps, 1), "ms", middle)
+	r.Compare("group/4-ranks/pass-p99", Quantile(gaps, 0.99), "ms", middle)
+	r.Compare("group/4-ranks/pass-worst", Quantile(gaps, 1), "ms", middle)
 	return nil
 }
 
 // takeover crashes the holder and waits for the next map that another brings in.
 func (r *Reporter) takeover(cluster *harness.Cluster) error {
-	holder, err := cluster.Holder()
+	holder, err := cluster.LeaseHolder()
 	if err != nil {
 		return err
 	}
@@ -91,10 +91,10 @@
 		return err
 	}
 	for end := start.Add(groupTimeout); time.Now().Before(end); time.Sleep(groupPoll) {
-		next, err := cluster.Holder()
+		next, err := cluster.LeaseHolder()
 		if err == nil && next != holder {
 			r.Figure("group/4-ranks/crash-to-next-holder", time.Since(start).Seconds(), "s")
-			state, err := cluster.Group()
+			state, err := cluster.GroupState()
 			if err != nil {
 				return err
 			}
--- a/standins/bench/limits.go
+++ b/standins/bench/limits.go
@@ -32,20 +32,20 @@
 	}
 	cut := limitsim.New(1, 8, 1, limitsPerSecond)
 	spreadDemand(cut, 1)
-	cut.Run(limitsim.Settles)
+	cut.Run(limitsim.SettleTime)
 	from := cut.Now
 	for i, d := range cut.Daemons {
-		d.Side = i % 2
+		d.Partition = i % 2
 	}
 	cut.Run(limitsCounted)
-	_, worst := cut.Since(from)
-	r.Against("limits/worst_4s_in_a_cut_8_daemons_1_server", float64(worst), "requests", limitsPerSecond*limitsim.Window.Seconds())
+	_, worst := cut.CountSince(from)
+	r.Compare("limits/worst_4s_in_a_cut_8_daemons_1_server", float64(worst), "requests", limitsPerSecond*limitsim.Window.Seconds())
 }
 
 // spreadDemand divides what is asked of the servers evenly among the daemons.
 func spreadDemand(s *limitsim.Sim, servers int) {
 	for _, d := range s.Daemons {
-		d.Demand = limitsAsked * limitsPerSecond * float64(servers) / float64(len(s.Daemons))
+		d.RequestRate = limitsAsked * limitsPerSecond * float64(servers) / float64(len(s.Daemons))
 	}
 }
 
@@ -55,13 +55,13 @@
 	}
 	s := limitsim.New(1, daemons, servers, limitsPerSecond)
 	spreadDemand(s, servers)
-	s.Run(2 * limitsim.Settles)
+	s.Run(2 * limitsim.SettleTime)
 	from, bytes, began := s.Now, s.Bytes, ownCPU()
 	s.Run(limitsCounted)
 	perDaemon := float64(daemons) * limitsCounted.Seconds()
-	count, worst := s.Since(from)
-	r.Against(name("worst_4s"), float64(worst), "requests", limitsPerSecond*limitsim.Window.Seconds())
-	r.Against(name("used"), float64(count)/limitsCounted.Seconds(), "1/s", limitsPerSecond*float64(servers))
+	count, worst := s.CountSince(from)
+	r.Compare(name("worst_4s"), float64(worst), "requests", limitsPerSecond*limitsim.Window.Seconds())
+	r.Compare(name("used"), float64(count)/limitsCounted.Seconds(), "1/s", limitsPerSecond*float64(servers))
 	r.Figure(name("bytes"), float64(s.Bytes-bytes)/perDaemon, "B/s")
 	r.Figure(name("cpu"), 100*(ownCPU()-began)/perDaemon, "%")
 	r.Figure(name("settled_after_a_jump"), settled(s, servers).Seconds(), "s")
@@ -71,13 +71,13 @@
 func settled(s *limitsim.Sim, servers int) time.Duration {
 	const look = 500 * time.Millisecond
 	for _, d := range s.Daemons {
-		d.Demand *= limitsJump
+		d.RequestRate *= limitsJump
 	}
 	s.Limit = ratelimit.Limit{Present: true, PerSecond: limitsJump * limitsPerSecond}
 	for began := s.Now; ; {
 		from := s.Now
 		s.Run(look)
-		count, _ := s.Since(from)
+		count, _ := s.CountSince(from)
 		if float64(count) >= limitsUsed*limitsJump*limitsPerSecond*float64(servers)*look.Seconds() || s.Now.Sub(began) > limitsCounted {
 			return s.Now.Sub(began)
 		}
--- a/standins/bench/path.go
+++ b/standins/bench/path.go
@@ -117,8 +117,8 @@
 
 func (r *Reporter) pathIn(bin, dir string) error {
 	cluster, err := harness.New(harness.Layout{
-		Zones: []string{"a"}, EntriesPerZone: 1, EnginesPerZone: 2, Step: time.Millisecond,
-		KeyWindowSeconds: 60, ClockSkewMs: 50, Drain: 20 * time.Second, Quiet: true,
+		Zones: []string{"a"}, EntriesPerZone: 1, EnginesPerZone: 2, StepTime: time.Millisecond,
+		KeyWindowSeconds: 60, ClockSkewMs: 50, DrainTimeout: 20 * time.Second, Quiet: true,
 	}, bin, dir)
 	if err != nil {
 		return err
@@ -127,8 +127,8 @@
 	if err := onOneProcessor(cluster.Start); err != nil {
 		return err
 	}
-	direct := newTarget("http://"+cluster.Servers[0].Backend(), "")
-	through := newTarget("http://"+cluster.Entries[0].Callers, cluster.Keys[0])
+	direct := newTarget("http://"+cluster.Servers[0].BackendAddress(), "")
+	through := newTarget("http://"+cluster.Entries[0].CallerAddress, cluster.Keys[0])
 	entry, agent := cluster.Processes[cluster.Entries[0].Name], cluster.Processes["agent-"+cluster.Servers[0].Name]
 	return r.measurePath(direct, through, entry, agent)
 }
@@ -173,8 +173,8 @@
 		if err != nil {
 			return err
 		}
-		r.Against("path/"+share.name+"/p50", Quantile(times, 0.5), "ms", Quantile(plain, 0.5))
-		r.Against("path/"+share.name+"/p99", Quantile(times, 0.99), "ms", Quantile(plain, 0.99))
+		r.Compare("path/"+share.name+"/p50", Quantile(times, 0.5), "ms", Quantile(plain, 0.5))
+		r.Compare("path/"+share.name+"/p99", Quantile(times, 0.99), "ms", Quantile(plain, 0.99))
 	}
 	return r.measureStreams(through, entry)
 }
--- a/standins/bench/platformentry.go
+++ b/standins/bench/platformentry.go
@@ -38,9 +38,9 @@
 
 // Hosted measures what an entry on the users' platform adds to a direct call: time
 // and processor, this process's with and without the entry.
-func (r *Reporter) Hosted() error {
+func (r *Reporter) PlatformEntry() error {
 	store := standin.NewStore()
-	storeServer, backend := httptest.NewServer(store), httptest.NewServer(standin.Backend(hostedEvents))
+	storeServer, backend := httptest.NewServer(store), httptest.NewServer(standin.BackendHandler(hostedEvents))
 	defer storeServer.Close()
 	defer backend.Close()
 	address := backend.Listener.Addr().String()
@@ -106,8 +106,8 @@
 		units int
 		unit  string
 	}{
-		{"requests", standin.BackendPlain, 1, "request"},
-		{"streams", standin.BackendStream, hostedEvents, "event"},
+		{"requests", standin.BackendPlainPath, 1, "request"},
+		{"streams", standin.BackendStreamPath, hostedEvents, "event"},
 	} {
 		if _, err := b.load(b.through, kind.path); err != nil { // warms both sides up
 			return err
@@ -121,10 +121,10 @@
 			return err
 		}
 		perUnit := func(s sample) float64 { return s.processor / float64(s.requests*kind.units) * 1e6 }
-		r.Against("hosted/"+kind.name+"/processor-per-"+kind.unit, perUnit(through), "us", perUnit(direct))
+		r.Compare("hosted/"+kind.name+"/processor-per-"+kind.unit, perUnit(through), "us", perUnit(direct))
 		r.Figure("hosted/"+kind.name+"/processor-added-per-"+kind.unit, perUnit(through)-perUnit(direct), "us")
-		r.Against("hosted/"+kind.name+"/p50", Quantile(through.times, 0.5), "ms", Quantile(direct.times, 0.5))
-		r.Against("hosted/"+kind.name+"/p99", Quantile(through.times, 0.99), "ms", Quantile(direct.times, 0.99))
+		r.Compare("hosted/"+kind.name+"/p50", Quantile(through.times, 0.5), "ms", Quantile(direct.times, 0.5))
+		r.Compare("hosted/"+kind.name+"/p99", Quantile(through.times, 0.99), "ms", Quantile(direct.times, 0.99))
 	}
 	return nil
 }
--- a/standins/bench/quarantine.go
+++ b/standins/bench/quarantine.go
@@ -25,7 +25,7 @@
 	for _, size := range []int{4 << 10, 1 << 20} {
 		body := make([]byte, size)
 		empty, full := quarantine.NewTable(), fullTable()
-		r.Against(fmt.Sprintf("quarantine/request_of_%d_KB_nothing_held", size>>10), perRequest(empty, body), "ns", perRequest(full, body))
+		r.Compare(fmt.Sprintf("quarantine/request_of_%d_KB_nothing_held", size>>10), perRequest(empty, body), "ns", perRequest(full, body))
 	}
 }
 
@@ -121,7 +121,7 @@
 		now = now.Add(repeatEach)
 	}
 	name := fmt.Sprintf("quarantine/%d_ranks_%d_guilty", ranks, guilty)
-	r.Against(name+"_servers_ended", float64(ended), "servers", float64(without))
+	r.Compare(name+"_servers_ended", float64(ended), "servers", float64(without))
 	r.Figure(name+"_sound_held_back", float64(held), fmt.Sprintf("of %d", sound))
 }
 
--- a/standins/bench/rebalance.go
+++ b/standins/bench/rebalance.go
@@ -133,12 +133,12 @@
 func (r *Reporter) Rebalance() {
 	small := popularitytrace.Options{
 		Shape:     rebalance.Shape{Ranks: 16, Experts: 64, Layers: 8, Slots: 8},
-		Intervals: 576, IntervalsPerDay: 288, Zipf: 0.9, Drift: 0.02, Season: 0.5, Noise: 0.05,
+		Intervals: 576, IntervalsPerDay: 288, ZipfExponent: 0.9, DriftStep: 0.02, SeasonAmplitude: 0.5, Noise: 0.05,
 		PeakAt: 400, PeakLength: 30, PeakFactor: 6, Seed: 7,
 	}
 	large := popularitytrace.Options{
 		Shape:     rebalance.Shape{Ranks: 256, Experts: 256, Layers: 60, Slots: 4},
-		Intervals: 60, IntervalsPerDay: 288, Zipf: 0.9, Drift: 0.02, Season: 0.5, Noise: 0.05,
+		Intervals: 60, IntervalsPerDay: 288, ZipfExponent: 0.9, DriftStep: 0.02, SeasonAmplitude: 0.5, Noise: 0.05,
 		PeakAt: 40, PeakLength: 8, PeakFactor: 6, Seed: 7,
 	}
 	r.rebalanceAt("rebalance/16x64x8", small)
@@ -165,7 +165,7 @@
 		{Ranks: 256, Experts: 256, Layers: 60, Slots: 4},
 	} {
 		name := fmt.Sprintf("rebalance/jump-%dx%dx%d", shape.Ranks, shape.Experts, shape.Layers)
-		popularity, _ := popularitytrace.New(popularitytrace.Options{Shape: shape, Intervals: 1, IntervalsPerDay: 1, Zipf: 1.3, Seed: 7}).Next()
+		popularity, _ := popularitytrace.New(popularitytrace.Options{Shape: shape, Intervals: 1, IntervalsPerDay: 1, ZipfExponent: 1.3, Seed: 7}).Next()
 		placement, err := rebalance.NewPlacement(shape)
 		if err != nil {
 			panic(err) // the shapes are ours
@@ -177,8 +177,8 @@
 		speeds := speedsAt(popularitytrace.Options{Shape: shape}, -1, 0)
 		r.Figure(name+"/plan", took.Seconds()*1000, "ms")
 		r.Figure(name+"/skew-before", placement.Skew(popularity, speeds), "x")
-		r.Against(name+"/skew-after", first.Skew(popularity, speeds), "x", whole.Skew(popularity, speeds))
-		r.Against(name+"/copies-of-the-busiest", float64(placement.MaxLoads(first)), "experts", float64(placement.MaxLoads(whole)))
+		r.Compare(name+"/skew-after", first.Skew(popularity, speeds), "x", whole.Skew(popularity, speeds))
+		r.Compare(name+"/copies-of-the-busiest", float64(placement.MaxLoads(first)), "experts", float64(placement.MaxLoads(whole)))
 	}
 }
 
@@ -203,9 +203,9 @@
 	for _, d := range weightings {
 		options := rebalance.Options{SkewWeight: d.skew, CostWeight: d.costWeight, MaxMoves: 1 << 20, TargetRatio: goodEnough}
 		run := runPolicy(o, planned(planner, options))
-		r.Against(name+"/"+d.name+"/skew-p50", Quantile(run.skews, 0.5), "x", Quantile(full.skews, 0.5))
-		r.Against(name+"/"+d.name+"/skew-p99", Quantile(run.skews, 0.99), "x", Quantile(full.skews, 0.99))
-		r.Against(name+"/"+d.name+"/loads", float64(run.loads), "experts", float64(full.loads))
+		r.Compare(name+"/"+d.name+"/skew-p50", Quantile(run.skews, 0.5), "x", Quantile(full.skews, 0.5))
+		r.Compare(name+"/"+d.name+"/skew-p99", Quantile(run.skews, 0.99), "x", Quantile(full.skews, 0.99))
+		r.Compare(name+"/"+d.name+"/loads", float64(run.loads), "experts", float64(full.loads))
 	}
 }
 
--- a/standins/bench/recovery.go
+++ b/standins/bench/recovery.go
@@ -91,7 +91,7 @@
 	if err := f.await(entries); err != nil {
 		return nil, err
 	}
-	f.store.Copy()
+	f.store.TakeBackup()
 	f.configure()
 	f.configure()
 	if err := f.await(entries); err != nil {
@@ -99,7 +99,7 @@
 	}
 	f.store.SetFaults(standin.Faults{Down: true})
 	time.Sleep(recoveryAway)
-	f.store.Return()
+	f.store.RestoreBackup()
 	f.store.SetFaults(standin.Faults{})
 	back := time.Now()
 	f.calls.Store(0)
--- a/standins/bench/routing.go
+++ b/standins/bench/routing.go
@@ -59,7 +59,7 @@
 		if base == 0 {
 			base = nanoseconds
 		}
-		r.Against(fmt.Sprintf("routing/decision-%d", n), nanoseconds, "ns", base)
+		r.Compare(fmt.Sprintf("routing/decision-%d", n), nanoseconds, "ns", base)
 		r.Figure(fmt.Sprintf("routing/decision-%d-allocs", n), float64(result.AllocsPerOp()), "allocs")
 	}
 	r.policies()
@@ -224,7 +224,7 @@
 		if base == 0 {
 			base = p99
 		}
-		r.Against("routing/policy/"+p.name+"/p99", p99, "ms", base)
+		r.Compare("routing/policy/"+p.name+"/p99", p99, "ms", base)
 		r.Figure("routing/policy/"+p.name+"/cache-hits", 100*float64(s.hits)/simRequests, "%")
 	}
 }
--- a/standins/cmd/bench/main.go
+++ b/standins/cmd/bench/main.go
@@ -31,7 +31,7 @@
 		{"admission", func() error { r.Admission(); return nil }},
 		{"config", r.Config},
 		{"path", func() error { return r.Path(args[0]) }},
-		{"hosted", r.Hosted},
+		{"hosted", r.PlatformEntry},
 		{"control", func() error { return r.Control(args[0]) }},
 		{"group", func() error { return r.Group(args[0]) }},
 		{"quarantine", func() error { r.Quarantine(); return nil }},
--- a/standins/cmd/days/main.go
+++ b/standins/cmd/days/main.go
@@ -33,7 +33,7 @@
 }
 
 func run(_ context.Context, c *cli.Command) error {
-	var sets []runreport.Set
+	var sets []runreport.Series
 	for _, flag := range c.StringSlice("set") {
 		set, err := readSet(flag)
 		if err != nil {
@@ -41,27 +41,27 @@
 		}
 		sets = append(sets, set)
 	}
-	if err := runreport.Table(os.Stdout, sets); err != nil {
+	if err := runreport.WriteTable(os.Stdout, sets); err != nil {
 		return err
 	}
 	if path := c.String("plot"); path != "" {
-		return runreport.Plot(path, c.String("title"), sets)
+		return runreport.WritePlot(path, c.String("title"), sets)
 	}
 	return nil
 }
 
-func readSet(flag string) (runreport.Set, error) {
+func readSet(flag string) (runreport.Series, error) {
 	name, pattern, found := strings.Cut(flag, "=")
 	if !found {
-		return runreport.Set{}, errors.Errorf("--set %s: use NAME=PATTERN", flag)
+		return runreport.Series{}, errors.Errorf("--set %s: use NAME=PATTERN", flag)
 	}
 	paths, err := filepath.Glob(pattern)
 	if err != nil || len(paths) == 0 {
-		return runreport.Set{}, errors.Errorf("--set %s: no file has this pattern", flag)
+		return runreport.Series{}, errors.Errorf("--set %s: no file has this pattern", flag)
 	}
-	set := runreport.Set{Name: name}
+	set := runreport.Series{Name: name}
 	for _, path := range paths {
-		report, err := runreport.Read(path)
+		report, err := runreport.ReadFile(path)
 		if err != nil {
 			return set, err
 		}
--- a/standins/cmd/demo/main.go
+++ b/standins/cmd/demo/main.go
@@ -31,7 +31,7 @@
 	}
 	cluster, err := harness.New(harness.Layout{
 		Zones: []string{"bp-csepel", "budaors"}, EntriesPerZone: 2, EnginesPerZone: 2, PlainPerZone: 1,
-		Step: 6 * time.Millisecond, KeyWindowSeconds: 60, ClockSkewMs: 50, Drain: 20 * time.Second,
+		StepTime: 6 * time.Millisecond, KeyWindowSeconds: 60, ClockSkewMs: 50, DrainTimeout: 20 * time.Second,
 	}, os.Args[1], dir)
 	if err != nil {
 		return err
@@ -54,8 +54,8 @@
 	done := make(chan error, 1)
 	go func() { done <- faults(cluster) }()
 	report, err := loadgen.Run(context.Background(), loadgen.Options{
-		Entries: cluster.Callers(), Keys: cluster.Keys, Rate: 80, Duration: 14 * time.Second, Tokens: 10,
-		PlainPercent: 40, StreamPercent: 30, UnkeyedPercent: 20, RunsURL: cluster.PlatformURL, DeadlineMs: 10000, Asks: 20,
+		Entries: cluster.CallerAddresses(), Keys: cluster.Keys, Rate: 80, Duration: 14 * time.Second, Tokens: 10,
+		PlainPercent: 40, StreamPercent: 30, UnkeyedPercent: 20, RunsURL: cluster.PlatformURL, DeadlineMs: 10000, MaxRetries: 20,
 	})
 	if err != nil {
 		return err
@@ -71,7 +71,7 @@
 		return err
 	}
 	fmt.Println("stopped: every daemon ended its planned stop")
-	if !report.OK() || report.Silent > 0 {
+	if !report.OK() || report.NoResponse > 0 {
 		return errors.New("the counts don't add up")
 	}
 	return nil
@@ -80,7 +80,7 @@
 func faults(cluster *harness.Cluster) error {
 	steps := []step{
 		{2 * time.Second, "kill the agent of one engine", cluster.Processes["agent-engine-budaors-1"].Kill},
-		{time.Second, "cut the log", func() error { return cluster.Fault("/fault/log", `{"down":true}`) }},
+		{time.Second, "cut the log", func() error { return cluster.InjectFault("/fault/log", `{"down":true}`) }},
 		{2 * time.Second, "planned stop of one plain server's agent", cluster.Processes["agent-plain-bp-csepel-1"].Stop},
 		{time.Second, "start both agents again, with the log still down", func() error {
 			if err := cluster.Processes["agent-plain-bp-csepel-1"].Start(); err != nil {
@@ -88,7 +88,7 @@
 			}
 			return cluster.Processes["agent-engine-budaors-1"].Start()
 		}},
-		{time.Second, "the log is back", func() error { return cluster.Fault("/fault/log", `{}`) }},
+		{time.Second, "the log is back", func() error { return cluster.InjectFault("/fault/log", `{}`) }},
 	}
 	for _, s := range steps {
 		time.Sleep(s.after)
--- a/standins/cmd/standin/main.go
+++ b/standins/cmd/standin/main.go
@@ -75,7 +75,7 @@
 		Flags: serverFlags(),
 		Action: func(_ context.Context, cmd *cli.Command) error {
 			e := engine.New(engine.Options{
-				Name: cmd.String("name"), Step: cmd.Duration("step"), Batch: cmd.Int("batch"),
+				Name: cmd.String("name"), StepTime: cmd.Duration("step"), BatchSize: cmd.Int("batch"),
 				Recorder: &engine.Recorder{URL: cmd.String("recorder")},
 			})
 			return serve(cmd, e.Handler())
@@ -103,18 +103,18 @@
 func runGroup(ctx context.Context, cmd *cli.Command) error {
 	addresses := cmd.StringSlice("rank")
 	g := engine.NewGroup(engine.GroupOptions{
-		Name: cmd.String("name"), Ranks: len(addresses), Experts: cmd.Int("experts"), Sets: cmd.Int("sets"),
-		Pass: cmd.Duration("step"), IgnoreFences: cmd.Bool("ignore-fences"),
+		Name: cmd.String("name"), Ranks: len(addresses), Experts: cmd.Int("experts"), Layers: cmd.Int("sets"),
+		PassTime: cmd.Duration("step"), IgnoreFences: cmd.Bool("ignore-fences"),
 	})
 	var tasks errgroup.Group
 	for rank, address := range addresses {
 		e := engine.New(engine.Options{
-			Name: fmt.Sprintf("%s-%d", cmd.String("name"), rank), Step: cmd.Duration("step"), Batch: 1,
+			Name: fmt.Sprintf("%s-%d", cmd.String("name"), rank), StepTime: cmd.Duration("step"), BatchSize: 1,
 			Recorder: &engine.Recorder{URL: cmd.String("recorder")},
 		})
 		tasks.Go(func() error { return serveAt(address, g.Handler(rank, e.Handler())) })
 	}
-	tasks.Go(func() error { return serveAt(cmd.String("listen"), g.Control()) })
+	tasks.Go(func() error { return serveAt(cmd.String("listen"), g.ControlHandler()) })
 	go g.Run(ctx)
 	return tasks.Wait()
 }
@@ -124,7 +124,7 @@
 		Name: "plain", Flags: serverFlags(),
 		Action: func(_ context.Context, cmd *cli.Command) error {
 			return serve(cmd, plainserver.Handler(plainserver.Options{
-				Name: cmd.String("name"), Work: cmd.Duration("step"),
+				Name: cmd.String("name"), WorkTime: cmd.Duration("step"),
 				Recorder: &engine.Recorder{URL: cmd.String("recorder")},
 				Exit:     func() { os.Exit(exitEnded) },
 			}))
@@ -155,7 +155,7 @@
 			r := faultproxy.New()
 			var tasks errgroup.Group
 			if address := cmd.String("listen"); address != "" {
-				tasks.Go(func() error { return serveAt(address, r.Control()) })
+				tasks.Go(func() error { return serveAt(address, r.ControlHandler()) })
 			}
 			tasks.Go(func() error { return r.Run(cmd.StringSlice("pair")) })
 			return tasks.Wait()
@@ -184,7 +184,7 @@
 				Entries: cmd.StringSlice("entry"), Keys: cmd.StringSlice("key"),
 				Rate: cmd.Int("rate"), Duration: cmd.Duration("duration"), Tokens: cmd.Int("tokens"),
 				PlainPercent: cmd.Int("plain"), StreamPercent: cmd.Int("stream"), UnkeyedPercent: cmd.Int("unkeyed"),
-				RunsURL: cmd.String("runs"), DeadlineMs: cmd.Int("deadline-ms"), Asks: cmd.Int("asks"),
+				RunsURL: cmd.String("runs"), DeadlineMs: cmd.Int("deadline-ms"), MaxRetries: cmd.Int("asks"),
 			})
 			if err != nil {
 				return err
--- a/standins/engine/engine.go
+++ b/standins/engine/engine.go
@@ -22,9 +22,9 @@
 	// Name is told in each answer.
 	Name string
 	// Step is the time of one step with an empty batch.
-	Step time.Duration
+	StepTime time.Duration
 	// Batch is the number of requests that a step carries without slowing down.
-	Batch int
+	BatchSize int
 	// Recorder counts executions.
 	Recorder *Recorder
 }
@@ -74,7 +74,7 @@
 	if request.MaxTokens == 0 {
 		request.MaxTokens = defaultTokens
 	}
-	operation := Operation(body)
+	operation := OperationName(body)
 	e.options.Recorder.Record(operation)
 	e.active.Add(1)
 	defer e.active.Add(-1)
@@ -94,8 +94,8 @@
 
 // step waits for one step of the batch; false means that the reader left.
 func (e *Engine) step(r *http.Request) bool {
-	load := max(float64(e.active.Load())/float64(e.options.Batch), 1)
-	timer := time.NewTimer(time.Duration(float64(e.options.Step) * load))
+	load := max(float64(e.active.Load())/float64(e.options.BatchSize), 1)
+	timer := time.NewTimer(time.Duration(float64(e.options.StepTime) * load))
 	defer timer.Stop()
 	select {
 	case <-timer.C:
@@ -133,7 +133,7 @@
 const operationMark = "operation="
 
 // Operation returns the operation named in a body, or "unnamed".
-func Operation(body []byte) string {
+func OperationName(body []byte) string {
 	_, rest, found := strings.Cut(string(body), operationMark)
 	if !found {
 		return "unnamed"
--- a/standins/engine/group.go
+++ b/standins/engine/group.go
@@ -9,10 +9,10 @@
 
 // GroupOptions are the settings of a group of engines in lock-step.
 type GroupOptions struct {
-	Name                 string
-	Ranks, Experts, Sets int
+	Name                   string
+	Ranks, Experts, Layers int
 	// Pass is how long a pass takes.
-	Pass time.Duration
+	PassTime time.Duration
 	// IgnoreFences makes the engines take orders with old fencing numbers.
 	IgnoreFences bool
 }
@@ -42,11 +42,11 @@
 	Epoch  int64 `json:"epoch"`
 	Passes int64 `json:"passes"`
 	// Mixed counts the passes that began with two maps.
-	Mixed int `json:"mixed"`
+	MixedPasses int `json:"mixed"`
 	// Maps counts the passes of each map in use, by epoch and version.
-	Maps map[MapName]int `json:"maps"`
+	Maps map[MapID]int `json:"maps"`
 	// GapsUs are the times between the beginnings of the latest passes, in microseconds.
-	GapsUs []int64 `json:"gapsUs"`
+	PassIntervalsUs []int64 `json:"gapsUs"`
 }
 
 // groupRank is one engine. A restart forgets everything.
@@ -61,7 +61,7 @@
 
 // NewGroup returns a group in its first epoch.
 func NewGroup(o GroupOptions) *Group {
-	g := &Group{options: o, seen: GroupState{Maps: map[MapName]int{}}}
+	g := &Group{options: o, seen: GroupState{Maps: map[MapID]int{}}}
 	for range o.Ranks {
 		g.ranks = append(g.ranks, &groupRank{})
 	}
@@ -73,7 +73,7 @@
 func (g *Group) form() {
 	g.epoch++
 	g.broken = false
-	initial := make([][][]int, g.options.Sets)
+	initial := make([][][]int, g.options.Layers)
 	for set := range initial {
 		initial[set] = make([][]int, g.options.Ranks)
 		for expert := range g.options.Experts {
@@ -83,18 +83,18 @@
 	}
 	for _, r := range g.ranks {
 		fence := r.fence
-		*r = groupRank{lists: map[int64][][][]int{0: initial}, counts: make([]int64, g.options.Sets*g.options.Experts), fence: fence}
+		*r = groupRank{lists: map[int64][][][]int{0: initial}, counts: make([]int64, g.options.Layers*g.options.Experts), fence: fence}
 	}
 }
 
 // Run makes passes until the context ends.
 func (g *Group) Run(ctx context.Context) {
-	ticker := time.NewTicker(g.options.Pass)
+	ticker := time.NewTicker(g.options.PassTime)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-ticker.C:
-			g.Step()
+			g.BeginPass()
 		case <-ctx.Done():
 			return
 		}
@@ -102,7 +102,7 @@
 }
 
 // Step begins the next pass, unless the group is broken or a rank holds the pass.
-func (g *Group) Step() {
+func (g *Group) BeginPass() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.broken {
@@ -149,17 +149,17 @@
 	g.seen.Passes++
 	for _, r := range g.ranks {
 		if r.version != g.ranks[0].version {
-			g.seen.Mixed++
+			g.seen.MixedPasses++
 			break
 		}
 	}
-	g.seen.Maps[MapName{Epoch: g.epoch, Version: g.ranks[0].version}]++
+	g.seen.Maps[MapID{Epoch: g.epoch, Version: g.ranks[0].version}]++
 	now := time.Now()
 	if !g.begun.IsZero() {
-		g.seen.GapsUs = append(g.seen.GapsUs, now.Sub(g.begun).Microseconds())
+		g.seen.PassIntervalsUs = append(g.seen.PassIntervalsUs, now.Sub(g.begun).Microseconds())
 	}
-	if len(g.seen.GapsUs) > keptGaps {
-		g.seen.GapsUs = g.seen.GapsUs[1:]
+	if len(g.seen.PassIntervalsUs) > keptGaps {
+		g.seen.PassIntervalsUs = g.seen.PassIntervalsUs[1:]
 	}
 	g.begun = now
 }
@@ -169,11 +169,11 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	state := g.seen
-	state.Maps = make(map[MapName]int, len(g.seen.Maps))
+	state.Maps = make(map[MapID]int, len(g.seen.Maps))
 	for name, passes := range g.seen.Maps {
 		state.Maps[name] = passes
 	}
-	state.GapsUs = append([]int64(nil), g.seen.GapsUs...)
+	state.PassIntervalsUs = append([]int64(nil), g.seen.PassIntervalsUs...)
 	return state
 }
 
@@ -198,7 +198,7 @@
 
 // SetLate makes each so-manieth order go unanswered and be carried out after a
 // time; 0 ends that.
-func (g *Group) SetLate(each int, by time.Duration) {
+func (g *Group) SetLateCommands(each int, by time.Duration) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.lateEach, g.lateBy = each, by
--- a/standins/engine/group_test.go
+++ b/standins/engine/group_test.go
@@ -31,15 +31,15 @@
 		}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			g := NewGroup(GroupOptions{Name: "g", Ranks: 2, Experts: 4, Sets: 1})
+			g := NewGroup(GroupOptions{Name: "g", Ranks: 2, Experts: 4, Layers: 1})
 			for rank := range 2 {
 				g.carryOut(rank, experts.Command{Operation: experts.Prepare, Version: 1, Epoch: 1, Map: [][][]int{{{0, 1}, {2, 3}}}})
 			}
 			c.orders(g)
 			for range 3 {
-				g.Step()
+				g.BeginPass()
 			}
-			if got := g.State().Mixed; got != c.mixed {
+			if got := g.State().MixedPasses; got != c.mixed {
 				t.Fatalf("%d passes with two maps counted, want %d", got, c.mixed)
 			}
 		})
--- a/standins/engine/grouphttp.go
+++ b/standins/engine/grouphttp.go
@@ -12,17 +12,17 @@
 )
 
 // MapName names a map: versions begin anew in each epoch.
-type MapName struct {
+type MapID struct {
 	Epoch, Version int64
 }
 
 // MarshalText makes a MapName a key in JSON.
-func (n MapName) MarshalText() ([]byte, error) {
+func (n MapID) MarshalText() ([]byte, error) {
 	return fmt.Appendf(nil, "%d.%d", n.Epoch, n.Version), nil
 }
 
 // UnmarshalText reads what MarshalText wrote.
-func (n *MapName) UnmarshalText(text []byte) error {
+func (n *MapID) UnmarshalText(text []byte) error {
 	_, err := fmt.Sscanf(string(text), "%d.%d", &n.Epoch, &n.Version)
 	return err
 }
@@ -46,7 +46,7 @@
 }
 
 // Control returns the harness's interface: what the ranks did, and faults.
-func (g *Group) Control() http.Handler {
+func (g *Group) ControlHandler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /state", func(w http.ResponseWriter, _ *http.Request) {
 		_ = json.NewEncoder(w).Encode(g.State()) // the reader is gone
@@ -66,7 +66,7 @@
 			http.Error(w, "each, ms: not numbers", http.StatusBadRequest)
 			return
 		}
-		g.SetLate(each, time.Duration(ms)*time.Millisecond)
+		g.SetLateCommands(each, time.Duration(ms)*time.Millisecond)
 	})
 	return mux
 }
@@ -104,7 +104,7 @@
 		_ = json.NewEncoder(w).Encode(map[string]any{"step": g.pass, "epoch": g.epoch, "counts": own.counts}) // the reader is gone
 		return
 	}
-	lists := make([][]int, g.options.Sets)
+	lists := make([][]int, g.options.Layers)
 	for set := range lists {
 		lists[set] = own.lists[own.version][set][rank]
 	}
--- a/standins/faultproxy/faultproxy.go
+++ b/standins/faultproxy/faultproxy.go
@@ -27,16 +27,16 @@
 	// Reset ends all connections, present and new ones.
 	Reset Mode = "reset"
 	// OneWay holds what comes back from the target until the mode ends.
-	OneWay Mode = "one-way"
+	HoldReplies Mode = "one-way"
 	// Silent holds both ways until the mode ends.
-	Silent Mode = "silent"
+	HoldAll Mode = "silent"
 	// Stale silences the present connections for good; new ones pass.
-	Stale Mode = "stale"
+	BlackholeExisting Mode = "stale"
 )
 
 // Modes are those that a soak draws. Stale came later and has a scenario of its own:
 // the seeds that ever failed stand for these.
-var Modes = []Mode{Delay, Reset, OneWay, Silent}
+var SoakModes = []Mode{Delay, Reset, HoldReplies, HoldAll}
 
 const (
 	// delayTime is how long Delay holds a piece back.
@@ -47,7 +47,7 @@
 )
 
 // Relay forwards connections. Safe for concurrent use.
-type Relay struct {
+type Proxy struct {
 	mu    sync.Mutex
 	mode  Mode
 	conns map[*net.TCPConn]bool
@@ -56,12 +56,12 @@
 }
 
 // New returns a relay that passes everything.
-func New() *Relay {
-	return &Relay{mode: Pass, conns: map[*net.TCPConn]bool{}, stale: map[*net.TCPConn]bool{}}
+func New() *Proxy {
+	return &Proxy{mode: Pass, conns: map[*net.TCPConn]bool{}, stale: map[*net.TCPConn]bool{}}
 }
 
 // SetMode changes what the relay does.
-func (r *Relay) SetMode(mode Mode) {
+func (r *Proxy) SetMode(mode Mode) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.mode = mode
@@ -69,14 +69,14 @@
 		switch mode {
 		case Reset:
 			reset(conn)
-		case Stale:
+		case BlackholeExisting:
 			r.stale[conn] = true
 		default:
 		}
 	}
 }
 
-func (r *Relay) current() Mode {
+func (r *Proxy) current() Mode {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.mode
@@ -88,7 +88,7 @@
 }
 
 // Control returns the harness's interface: PUT /mode/MODE.
-func (r *Relay) Control() http.Handler {
+func (r *Proxy) ControlHandler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("PUT /mode/{mode}", func(_ http.ResponseWriter, request *http.Request) {
 		r.SetMode(Mode(request.PathValue("mode")))
@@ -97,7 +97,7 @@
 }
 
 // Run forwards each pair, written listen=target, until a listener fails.
-func (r *Relay) Run(pairs []string) error {
+func (r *Proxy) Run(pairs []string) error {
 	var group errgroup.Group
 	for _, pair := range pairs {
 		listen, target, found := strings.Cut(pair, "=")
@@ -113,7 +113,7 @@
 	return group.Wait()
 }
 
-func (r *Relay) accept(listener net.Listener, target string) error {
+func (r *Proxy) accept(listener net.Listener, target string) error {
 	for {
 		conn, err := listener.Accept()
 		if err != nil {
@@ -123,7 +123,7 @@
 	}
 }
 
-func (r *Relay) forward(near *net.TCPConn, target string) {
+func (r *Proxy) forward(near *net.TCPConn, target string) {
 	if r.current() == Reset {
 		reset(near)
 		return
@@ -139,13 +139,13 @@
 	back := make(chan struct{})
 	go func() {
 		defer close(back)
-		r.pipe(near, far, OneWay)
+		r.pipe(near, far, HoldReplies)
 	}()
-	r.pipe(far, near, Silent)
+	r.pipe(far, near, HoldAll)
 	<-back
 }
 
-func (r *Relay) track(conns ...*net.TCPConn) {
+func (r *Proxy) track(conns ...*net.TCPConn) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, conn := range conns {
@@ -153,7 +153,7 @@
 	}
 }
 
-func (r *Relay) forget(conns ...*net.TCPConn) {
+func (r *Proxy) forget(conns ...*net.TCPConn) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, conn := range conns {
@@ -165,7 +165,7 @@
 
 // pipe forwards pieces until either side leaves. A mode of that name holds them,
 // as Silent does.
-func (r *Relay) pipe(to, from *net.TCPConn, held Mode) {
+func (r *Proxy) pipe(to, from *net.TCPConn, held Mode) {
 	buffer := make([]byte, pieceSize)
 	for {
 		n, err := from.Read(buffer)
@@ -189,19 +189,19 @@
 	_ = from.Close()
 }
 
-func (r *Relay) isStale(conn *net.TCPConn) bool {
+func (r *Proxy) isStale(conn *net.TCPConn) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.stale[conn]
 }
 
 // hold waits as the mode asks.
-func (r *Relay) hold(held Mode) {
+func (r *Proxy) hold(held Mode) {
 	mode := r.current()
 	if mode == Delay {
 		time.Sleep(delayTime)
 	}
-	for mode == Silent || mode == held {
+	for mode == HoldAll || mode == held {
 		time.Sleep(holdPoll)
 		mode = r.current()
 	}
--- a/standins/harness/cluster.go
+++ b/standins/harness/cluster.go
@@ -98,7 +98,7 @@
 	if err := os.WriteFile(manifest, []byte(c.Manifest()), 0o600); err != nil {
 		return errors.Wrap(err, "manifest")
 	}
-	if out, err := c.Operator("apply", "-f", manifest, "--reason", "first configuration"); err != nil {
+	if out, err := c.RunCLI("apply", "-f", manifest, "--reason", "first configuration"); err != nil {
 		return errors.Wrap(err, out)
 	}
 	if err := started("agent-"); err != nil {
@@ -112,7 +112,7 @@
 	deadline := time.Now().Add(readyTimeout)
 	for _, e := range c.Entries {
 		for {
-			out, err := c.OperatorAt(e.Control, "-o", "json", "status")
+			out, err := c.RunCLIAt(e.ControlAddress, "-o", "json", "status")
 			if err == nil && strings.Count(out, `"state": "up"`) == len(c.Servers) && !strings.Contains(out, `"report_age_ms": -1`) {
 				break
 			}
@@ -126,23 +126,23 @@
 }
 
 // Callers returns the addresses for callers of the entries that run.
-func (c *Cluster) Callers() []string {
+func (c *Cluster) CallerAddresses() []string {
 	var found []string
 	for _, e := range c.Entries {
 		if c.Processes[e.Name].Running() {
-			found = append(found, e.Callers)
+			found = append(found, e.CallerAddress)
 		}
 	}
 	return found
 }
 
 // ProxyMode sets what the relay between entries and agents does.
-func (c *Cluster) ProxyMode(mode faultproxy.Mode) error {
+func (c *Cluster) SetProxyMode(mode faultproxy.Mode) error {
 	return put(c.proxyURL+"/mode/"+string(mode), "")
 }
 
 // Fault sets a fault at the platform, such as `log` with a JSON body.
-func (c *Cluster) Fault(path, body string) error {
+func (c *Cluster) InjectFault(path, body string) error {
 	return put(c.PlatformURL+path, body)
 }
 
@@ -162,7 +162,7 @@
 }
 
 // Group returns what the group's ranks did so far.
-func (c *Cluster) Group() (*engine.GroupState, error) {
+func (c *Cluster) GroupState() (*engine.GroupState, error) {
 	response, err := http.Get(c.groupURL + "/state")
 	if err != nil {
 		return nil, errors.Wrap(err, "group")
@@ -173,12 +173,12 @@
 }
 
 // GroupFault sets a fault at the group's engines, such as down/0/true.
-func (c *Cluster) GroupFault(path string) error { return put(c.groupURL+"/"+path, "") }
+func (c *Cluster) InjectGroupFault(path string) error { return put(c.groupURL+"/"+path, "") }
 
 // Holder returns the name of the process that holds the group's lease, as an
 // entry that answers tells it.
-func (c *Cluster) Holder() (string, error) {
-	out, err := c.Operator("status")
+func (c *Cluster) LeaseHolder() (string, error) {
+	out, err := c.RunCLI("status")
 	if err != nil {
 		return "", err
 	}
--- a/standins/harness/layout.go
+++ b/standins/harness/layout.go
@@ -17,7 +17,7 @@
 	PlainPerZone   int
 	// Links puts a relay process between the daemons of each zone and the entries of
 	// the others, named link-ZONE.
-	Links bool
+	ZoneLinks bool
 	// RanksPerZone makes a group of ranks over all zones.
 	RanksPerZone int
 	// Proxy puts a relay process between entries and agents, named proxy, whose mode
@@ -26,12 +26,12 @@
 	// IgnoreFences makes the group's engines take orders with old fencing numbers.
 	IgnoreFences bool
 	// Step of the stand-in servers.
-	Step time.Duration
+	StepTime time.Duration
 	// KeyWindowSeconds and ClockSkewMs go into the policy.
 	KeyWindowSeconds int
 	ClockSkewMs      int
 	// Drain bounds a planned stop.
-	Drain time.Duration
+	DrainTimeout time.Duration
 	// Quiet logs warnings only and counts no executions, for measurements.
 	Quiet bool
 	// EntryArgs and AgentArgs are added to the daemons' settings, and win over them.
@@ -49,7 +49,7 @@
 }
 
 // Backend is the address of the backend server itself.
-func (s *Server) Backend() string { return s.backend }
+func (s *Server) BackendAddress() string { return s.backend }
 
 // Secrets of the harness's deployments.
 const (
@@ -83,14 +83,14 @@
 
 // Entry is one entry.
 type Entry struct {
-	Name, Zone string
-	Callers    string
-	Control    string
-	metrics    string
+	Name, Zone     string
+	CallerAddress  string
+	ControlAddress string
+	metrics        string
 }
 
 // Metrics is the address of the entry's metrics port.
-func (e *Entry) Metrics() string { return e.metrics }
+func (e *Entry) MetricsAddress() string { return e.metrics }
 
 // addLinks lays a relay between each zone's daemons and the entries elsewhere.
 func (c *Cluster) addLinks() error {
@@ -98,7 +98,7 @@
 		args := []string{"relay"}
 		ready := ""
 		for _, e := range c.Entries {
-			if !c.Layout.Links || e.Zone == zone {
+			if !c.Layout.ZoneLinks || e.Zone == zone {
 				continue
 			}
 			address, err := freeAddress()
@@ -106,7 +106,7 @@
 				return err
 			}
 			c.links[zone+e.Name] = address
-			args = append(args, "--pair", address+"="+e.Control)
+			args = append(args, "--pair", address+"="+e.ControlAddress)
 			ready = address
 		}
 		if ready != "" {
@@ -150,7 +150,7 @@
 	}
 	c.groupURL = "http://" + listen
 	args := []string{
-		"group", "--name", GroupName, "--listen", listen, "--step", c.Layout.Step.String(), "--recorder", c.PlatformURL,
+		"group", "--name", GroupName, "--listen", listen, "--step", c.Layout.StepTime.String(), "--recorder", c.PlatformURL,
 		"--experts", strconv.Itoa(groupExperts), "--sets", strconv.Itoa(groupLayers),
 	}
 	for _, address := range c.ranks {
@@ -190,7 +190,7 @@
 		}
 		c.Entries = append(c.Entries, Entry{
 			Name: fmt.Sprintf("entry-%s-%d", zone, i+1), Zone: zone,
-			Callers: addresses[0], Control: addresses[1], metrics: addresses[2],
+			CallerAddress: addresses[0], ControlAddress: addresses[1], metrics: addresses[2],
 		})
 	}
 	for i := range c.Layout.EnginesPerZone {
@@ -248,7 +248,7 @@
 
 func (c *Cluster) addProcesses() {
 	for _, s := range c.Servers {
-		args := []string{s.Protocol, "--name", s.Name, "--listen", s.backend, "--step", c.Layout.Step.String()}
+		args := []string{s.Protocol, "--name", s.Name, "--listen", s.backend, "--step", c.Layout.StepTime.String()}
 		if !c.Layout.Quiet {
 			args = append(args, "--recorder", c.PlatformURL)
 		}
@@ -257,10 +257,10 @@
 		}
 	}
 	for _, e := range c.Entries {
-		c.add(e.Name, "crowbridged", e.Callers, append([]string{
-			"entry", "--name", e.Name, "--zone", e.Zone, "--listen", e.Callers, "--control", e.Control,
+		c.add(e.Name, "crowbridged", e.CallerAddress, append([]string{
+			"entry", "--name", e.Name, "--zone", e.Zone, "--listen", e.CallerAddress, "--control", e.ControlAddress,
 			"--metrics", e.metrics, "--daemon-key", DaemonKey, "--log-level", c.Layout.logLevel(),
-			"--drain-timeout", c.Layout.Drain.String(),
+			"--drain-timeout", c.Layout.DrainTimeout.String(),
 			"--store", c.platforms[e.Zone],
 			"--operator", "ops:change:" + daemon.HashSecret(operatorToken),
 			"--operator", "viewer:read:" + daemon.HashSecret(readerToken),
@@ -274,7 +274,7 @@
 		c.add("agent-"+s.Name, "crowbridged", s.address, append(append([]string{
 			"agent", "--server", s.Name, "--zone", s.Zone, "--listen", s.address, "--control", s.control,
 			"--metrics", s.metrics, "--daemon-key", DaemonKey, "--backend", "http://" + s.backend,
-			"--protocol", s.Protocol, "--log-level", c.Layout.logLevel(), "--drain-timeout", c.Layout.Drain.String(),
+			"--protocol", s.Protocol, "--log-level", c.Layout.logLevel(), "--drain-timeout", c.Layout.DrainTimeout.String(),
 			"--config-timeout", "1s",
 		}, append(c.peerArgs(s.Zone), c.Layout.AgentArgs...)...), rank...))
 	}
@@ -284,7 +284,7 @@
 func (c *Cluster) peerArgs(zone string) []string {
 	var args []string
 	for _, e := range c.Entries {
-		address := e.Control
+		address := e.ControlAddress
 		if link := c.links[zone+e.Name]; link != "" {
 			address = link
 		}
--- a/standins/harness/malformed.go
+++ b/standins/harness/malformed.go
@@ -18,7 +18,7 @@
 }
 
 // Litter leaves entries of other writers on the store, beside which all goes on.
-func (c *Cluster) Litter() error {
+func (c *Cluster) WriteMalformedRecords() error {
 	for topic, records := range litter {
 		var body bytes.Buffer
 		for _, record := range records {
--- a/standins/harness/operator.go
+++ b/standins/harness/operator.go
@@ -11,23 +11,23 @@
 )
 
 // Operator runs the operators' command line against all entries in turn.
-func (c *Cluster) Operator(args ...string) (string, error) {
+func (c *Cluster) RunCLI(args ...string) (string, error) {
 	controls := make([]string, 0, len(c.Entries))
 	for _, e := range c.Entries {
-		controls = append(controls, e.Control)
+		controls = append(controls, e.ControlAddress)
 	}
-	return c.OperatorAt(strings.Join(controls, ","), args...)
+	return c.RunCLIAt(strings.Join(controls, ","), args...)
 }
 
 // OperatorAt runs the operators' command line against the given entries.
-func (c *Cluster) OperatorAt(controls string, args ...string) (string, error) {
+func (c *Cluster) RunCLIAt(controls string, args ...string) (string, error) {
 	return c.as(operatorToken, controls, args)
 }
 
 // Reader runs the operators' command line with the token of somebody who may
 // only read.
-func (c *Cluster) Reader(args ...string) (string, error) {
-	return c.as(readerToken, c.Entries[0].Control, args)
+func (c *Cluster) RunReadOnlyCLI(args ...string) (string, error) {
+	return c.as(readerToken, c.Entries[0].ControlAddress, args)
 }
 
 func (c *Cluster) as(token, controls string, args []string) (string, error) {
--- a/standins/harness/process.go
+++ b/standins/harness/process.go
@@ -103,11 +103,11 @@
 	if err := p.Signal(syscall.SIGTERM); err != nil {
 		return err
 	}
-	return p.Ended()
+	return p.AwaitExit()
 }
 
 // Ended waits for a process that was asked to stop.
-func (p *Process) Ended() error {
+func (p *Process) AwaitExit() error {
 	select {
 	case <-p.exited:
 		p.mu.Lock()
--- a/standins/limitsim/limitsim.go
+++ b/standins/limitsim/limitsim.go
@@ -20,7 +20,7 @@
 	// Window is the span over which a server's requests count.
 	Window = 4 * time.Second
 	// Settles is how long a server's word takes to hold everywhere.
-	Settles = 3 * time.Second
+	SettleTime = 3 * time.Second
 	// tellPace is the least time between a daemon's messages.
 	tellPace = 10 * time.Millisecond
 	// usualDelay and usualDemand are the longest way of a message, and the requests a second
@@ -33,19 +33,19 @@
 
 // Allowed is what a server with a limit may get in one window: half as much again as it named,
 // and 5 requests that were on their way.
-func Allowed(limit float64) int { return int(1.5*limit*Window.Seconds()) + 5 }
+func MaxRequests(limit float64) int { return int(1.5*limit*Window.Seconds()) + 5 }
 
 // Daemon is one of a fleet.
 type Daemon struct {
 	Table *ratelimit.Table
 	// Demand is how many requests a second it gets.
-	Demand float64
+	RequestRate float64
 	// Side tells which daemons hear each other: those of the same.
-	Side int
+	Partition int
 	// FrozenUntil is when it runs on; what comes before waits.
 	FrozenUntil time.Time
 	// Gone is set when it has ended.
-	Gone bool
+	Stopped bool
 
 	told  time.Time
 	inbox []message
@@ -63,18 +63,18 @@
 	Now     time.Time
 	Daemons []*Daemon
 	// Limit is what all servers name, ChangedAt when they named another last.
-	Limit     ratelimit.Limit
-	ChangedAt time.Time
+	Limit          ratelimit.Limit
+	LimitChangedAt time.Time
 	// Loss is the part of messages that is lost, Delay the longest that one takes.
-	Loss  float64
-	Delay time.Duration
+	Loss     float64
+	MaxDelay time.Duration
 	// CutAt is when daemons were cut off from each other.
-	CutAt []time.Time
+	PartitionedAt []time.Time
 	// Customer draws who a request is of, Got counts what customers got.
-	Customer func(*rand.Rand) string
-	Got      map[string]int
+	DrawCustomer   func(*rand.Rand) string
+	SentByCustomer map[string]int
 	// Sent has the times of the requests to each server.
-	Sent map[string][]time.Time
+	SentByServer map[string][]time.Time
 	// Messages and Bytes count what daemons told each other.
 	Messages, Bytes int
 
@@ -85,42 +85,42 @@
 // New returns a fleet of some daemons before some servers.
 func New(seed uint64, daemons, servers int, limit float64) *Sim {
 	s := &Sim{
-		Random: rand.New(rand.NewPCG(seed, 7)), Now: time.Unix(9000, 0), Delay: usualDelay,
-		Limit: ratelimit.Limit{Present: true, PerSecond: limit}, Got: map[string]int{}, Sent: map[string][]time.Time{},
-		Customer: func(*rand.Rand) string { return "" },
+		Random: rand.New(rand.NewPCG(seed, 7)), Now: time.Unix(9000, 0), MaxDelay: usualDelay,
+		Limit: ratelimit.Limit{Present: true, PerSecond: limit}, SentByCustomer: map[string]int{}, SentByServer: map[string][]time.Time{},
+		DrawCustomer: func(*rand.Rand) string { return "" },
 	}
 	for i := range servers {
 		s.servers = append(s.servers, fmt.Sprint("server-", i))
 	}
 	for range daemons {
-		s.Join()
+		s.AddDaemon()
 	}
 	return s
 }
 
 // Join adds a daemon, where another one is: one that comes cut off from all others can't know of
 // them, and sends by the whole limit.
-func (s *Sim) Join() {
+func (s *Sim) AddDaemon() {
 	s.nextID++
-	d := &Daemon{Table: ratelimit.New(s.nextID, s.Random.Float64), Demand: usualDemand}
+	d := &Daemon{Table: ratelimit.New(s.nextID, s.Random.Float64), RequestRate: usualDemand}
 	for _, other := range s.Daemons {
-		if !other.Gone {
-			d.Side = other.Side
+		if !other.Stopped {
+			d.Partition = other.Partition
 		}
 	}
 	s.Daemons = append(s.Daemons, d)
 }
 
 // Leave ends a daemon as planned.
-func (s *Sim) Leave(d *Daemon) {
+func (s *Sim) StopDaemon(d *Daemon) {
 	s.send(slices.Index(s.Daemons, d), []*peerrpc.LimitNews{d.Table.DepartureMessage()})
-	d.Gone = true
+	d.Stopped = true
 }
 
 // Alive counts the daemons that run.
-func (s *Sim) Alive() (n int) {
+func (s *Sim) Running() (n int) {
 	for _, d := range s.Daemons {
-		if !d.Gone {
+		if !d.Stopped {
 			n++
 		}
 	}
@@ -131,7 +131,7 @@
 func (s *Sim) Run(d time.Duration) {
 	for end := s.Now.Add(d); s.Now.Before(end); s.Now = s.Now.Add(Step) {
 		for i, daemon := range s.Daemons {
-			if daemon.Gone || s.Now.Before(daemon.FrozenUntil) {
+			if daemon.Stopped || s.Now.Before(daemon.FrozenUntil) {
 				continue
 			}
 			if !daemon.FrozenUntil.IsZero() {
@@ -154,7 +154,7 @@
 		d.Table.Receive(m.from, m.news, s.Now)
 	}
 	d.inbox = kept
-	for due := d.Demand * Step.Seconds(); due > 0; due-- {
+	for due := d.RequestRate * Step.Seconds(); due > 0; due-- {
 		if s.Random.Float64() < due {
 			s.request(d)
 		}
@@ -175,15 +175,15 @@
 	for _, m := range messages {
 		size := proto.Size(m)
 		for i, to := range s.Daemons {
-			if i == from || to.Gone {
+			if i == from || to.Stopped {
 				continue
 			}
 			s.Messages++
 			s.Bytes += size
-			if to.Side != s.Daemons[from].Side || s.Random.Float64() < s.Loss {
+			if to.Partition != s.Daemons[from].Partition || s.Random.Float64() < s.Loss {
 				continue
 			}
-			late := time.Duration(s.Random.Float64() * float64(s.Delay))
+			late := time.Duration(s.Random.Float64() * float64(s.MaxDelay))
 			to.inbox = append(to.inbox, message{from: fmt.Sprint("d", from), at: s.Now.Add(late), news: m})
 		}
 	}
@@ -191,14 +191,14 @@
 
 // request sends one to a server if one takes it, and hears its word.
 func (s *Sim) request(d *Daemon) {
-	want := ratelimit.TokenRequest{Customer: s.Customer(s.Random)}
+	want := ratelimit.TokenRequest{Customer: s.DrawCustomer(s.Random)}
 	for range looks {
 		server := s.servers[s.Random.IntN(len(s.servers))]
 		if d.Table.Wait(server, want, s.Now) > 0 || d.Table.Acquire(server, want, s.Now) > 0 {
 			continue
 		}
-		s.Sent[server] = append(s.Sent[server], s.Now)
-		s.Got[want.Customer]++
+		s.SentByServer[server] = append(s.SentByServer[server], s.Now)
+		s.SentByCustomer[want.Customer]++
 		word := s.Limit
 		word.RequestedAt, word.ReceivedAt = s.Now.Add(-Step/2), s.Now
 		d.Table.UpdateLimit(server, word)
@@ -209,8 +209,8 @@
 
 // Since counts what was sent to all servers from a time on, and the most to one of them in a
 // window that began then.
-func (s *Sim) Since(from time.Time) (count, worst int) {
-	for _, sent := range s.Sent {
+func (s *Sim) CountSince(from time.Time) (count, worst int) {
+	for _, sent := range s.SentByServer {
 		first, _ := slices.BinarySearchFunc(sent, from, time.Time.Compare)
 		sent = sent[first:]
 		count += len(sent)
@@ -226,45 +226,45 @@
 }
 
 // Disturb does something to the fleet at random.
-func (s *Sim) Disturb() {
+func (s *Sim) InjectFault() {
 	d := s.Daemons[s.Random.IntN(len(s.Daemons))]
 	switch s.Random.IntN(8) {
 	case 0:
-		s.Join()
+		s.AddDaemon()
 	case 1:
-		s.Leave(d)
+		s.StopDaemon(d)
 	case 2: // killed
-		d.Gone = true
+		d.Stopped = true
 	case 3:
 		d.FrozenUntil = s.Now.Add(time.Duration(s.Random.IntN(6000)) * time.Millisecond)
 	case 4:
 		s.cut()
 	case 5:
 		for _, other := range s.Daemons {
-			other.Side = 0
+			other.Partition = 0
 		}
 	case 6:
 		s.Loss = []float64{0, 0.03, 0.2}[s.Random.IntN(3)]
-		s.Delay = []time.Duration{4, 20, 100}[s.Random.IntN(3)] * time.Millisecond
+		s.MaxDelay = []time.Duration{4, 20, 100}[s.Random.IntN(3)] * time.Millisecond
 	case 7:
-		s.ChangedAt = s.Now
+		s.LimitChangedAt = s.Now
 		s.Limit.PerSecond = []float64{0.2, 1, 1.1, 5, 20}[s.Random.IntN(5)]
 	}
 }
 
 // cut puts each daemon on one of two sides.
 func (s *Sim) cut() {
-	s.CutAt = append(s.CutAt, s.Now)
+	s.PartitionedAt = append(s.PartitionedAt, s.Now)
 	for _, d := range s.Daemons {
-		d.Side = s.Random.IntN(2)
+		d.Partition = s.Random.IntN(2)
 	}
 }
 
 // AddedByCuts is what cuts may have added to a window that began after a time, until it was
 // noticed that the others are silent.
-func (s *Sim) AddedByCuts(from time.Time) int {
+func (s *Sim) PartitionExcess(from time.Time) int {
 	added := 0.0
-	for _, at := range s.CutAt {
+	for _, at := range s.PartitionedAt {
 		if noticed, most := ratelimit.PartitionExcess(s.Limit.PerSecond); at.After(from.Add(-noticed)) {
 			added += most
 		}
--- a/standins/limitsim/limitsim_test.go
+++ b/standins/limitsim/limitsim_test.go
@@ -23,20 +23,20 @@
 			g := NewWithT(t)
 			s := New(1, c.daemons, 1, c.limit)
 			for i, d := range s.Daemons {
-				d.Demand = max(4*c.limit/float64(c.daemons), 1)
+				d.RequestRate = max(4*c.limit/float64(c.daemons), 1)
 				if c.toOne {
-					d.Demand = 0
+					d.RequestRate = 0
 				}
 				if c.toOne && i == 0 {
-					d.Demand = 4 * c.limit
+					d.RequestRate = 4 * c.limit
 				}
 			}
-			s.Run(Settles)
+			s.Run(SettleTime)
 			from, counted := s.Now, time.Duration(30/min(c.limit, 1)*float64(time.Second))
 			s.Run(counted)
-			count, worst := s.Since(from)
-			t.Logf("used %.2f, worst %d of %d", float64(count)/c.limit/counted.Seconds(), worst, Allowed(c.limit))
-			g.Expect(worst).To(BeNumerically("<=", Allowed(c.limit)))
+			count, worst := s.CountSince(from)
+			t.Logf("used %.2f, worst %d of %d", float64(count)/c.limit/counted.Seconds(), worst, MaxRequests(c.limit))
+			g.Expect(worst).To(BeNumerically("<=", MaxRequests(c.limit)))
 			g.Expect(float64(count)).To(BeNumerically("<=", c.limit*counted.Seconds()+3), "in the long run, but for what a bucket held")
 			g.Expect(float64(count)).To(BeNumerically(">=", 0.8*c.limit*counted.Seconds()-1))
 		})
@@ -55,18 +55,18 @@
 			s := New(seed, 8, 1, 1)
 			s.Run(Window)
 			for range 12 {
-				s.Disturb()
-				if s.Alive() < 3 {
-					s.Join()
+				s.InjectFault()
+				if s.Running() < 3 {
+					s.AddDaemon()
 				}
 				from := s.Now.Add(-Window / 2)
-				if settled := s.ChangedAt.Add(Settles); settled.After(from) {
+				if settled := s.LimitChangedAt.Add(SettleTime); settled.After(from) {
 					from = settled
 				}
 				s.Run(time.Duration(s.Random.IntN(8000)) * time.Millisecond)
-				_, worst := s.Since(from)
-				g.Expect(worst).To(BeNumerically("<=", Allowed(s.Limit.PerSecond)+s.AddedByCuts(from)),
-					"at %g a second, %d daemons, loss %g, delay %s", s.Limit.PerSecond, len(s.Daemons), s.Loss, s.Delay)
+				_, worst := s.CountSince(from)
+				g.Expect(worst).To(BeNumerically("<=", MaxRequests(s.Limit.PerSecond)+s.PartitionExcess(from)),
+					"at %g a second, %d daemons, loss %g, delay %s", s.Limit.PerSecond, len(s.Daemons), s.Loss, s.MaxDelay)
 			}
 		})
 	}
@@ -75,7 +75,7 @@
 func TestWhatIsLeftGoesToCustomersInTurn(t *testing.T) {
 	g := NewWithT(t)
 	s := New(3, 8, 1, 2)
-	s.Customer = func(r *rand.Rand) string { // one asks for nine in ten
+	s.DrawCustomer = func(r *rand.Rand) string { // one asks for nine in ten
 		if r.IntN(10) > 0 {
 			return "busy"
 		}
@@ -83,11 +83,11 @@
 	}
 	s.Run(time.Minute)
 	all := 0
-	for _, n := range s.Got {
+	for _, n := range s.SentByCustomer {
 		all += n
 	}
 	for _, customer := range []string{"busy", "c0", "c1", "c2", "c3"} {
-		g.Expect(s.Got[customer]).To(BeNumerically(">=", all/5/2), "%s of %v", customer, s.Got)
+		g.Expect(s.SentByCustomer[customer]).To(BeNumerically(">=", all/5/2), "%s of %v", customer, s.SentByCustomer)
 	}
 }
 
@@ -100,9 +100,9 @@
 		least, most float64
 	}{
 		{"ends", 1, ratelimit.Limit{}, 0.8 * 4 * 8 * usualDemand, 4 * 8 * usualDemand * 1.1},
-		{"rises", 0.2, ratelimit.Limit{Present: true, PerSecond: 10}, 0.8 * 4 * 10, float64(Allowed(10))},
-		{"falls", 40, ratelimit.Limit{Present: true, PerSecond: 1}, 0.8 * 4, float64(Allowed(1) - 5)},
-		{"falls to none at all", 40, ratelimit.Limit{Present: true}, 0, float64(Allowed(0) - 1)},
+		{"rises", 0.2, ratelimit.Limit{Present: true, PerSecond: 10}, 0.8 * 4 * 10, float64(MaxRequests(10))},
+		{"falls", 40, ratelimit.Limit{Present: true, PerSecond: 1}, 0.8 * 4, float64(MaxRequests(1) - 5)},
+		{"falls to none at all", 40, ratelimit.Limit{Present: true}, 0, float64(MaxRequests(0) - 1)},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			g := NewWithT(t)
@@ -110,12 +110,12 @@
 			s.Run(20 * time.Second)
 			s.Limit = c.after
 			from := s.Now
-			for n := 0; n == 0; n, _ = s.Since(from) {
+			for n := 0; n == 0; n, _ = s.CountSince(from) {
 				from = s.Now
 				s.Run(Step) // it can only say so in an answer
 			}
 			s.Run(Window)
-			n, _ := s.Since(from)
+			n, _ := s.CountSince(from)
 			g.Expect(n).To(And(BeNumerically(">=", c.least), BeNumerically("<=", c.most)), "requests in 4 s")
 		})
 	}
@@ -125,10 +125,10 @@
 	g := NewWithT(t)
 	s := New(5, 3, 1, 0)
 	s.Run(5 * time.Minute)
-	n, _ := s.Since(time.Time{})
+	n, _ := s.CountSince(time.Time{})
 	g.Expect(n).To(BeNumerically("~", 10, 3), "one in 30 s: it could never say that it takes more")
 	s.Limit = ratelimit.Limit{}
 	s.Run(40 * time.Second)
-	n, _ = s.Since(time.Time{})
+	n, _ = s.CountSince(time.Time{})
 	g.Expect(n).To(BeNumerically(">", 100), "it has said so")
 }
--- a/standins/loadgen/loadgen.go
+++ b/standins/loadgen/loadgen.go
@@ -37,20 +37,20 @@
 	// DeadlineMs is sent with each request.
 	DeadlineMs int
 	// Asks is how often a keyed request is asked again after "unknown" or "not run".
-	Asks int
+	MaxRetries int
 }
 
 // Report is what came of it.
 type Report struct {
-	Asked, Answered, NotRun, Unknown int
+	Sent, Answered, NotRun, Unknown int
 	// Doubled counts operations that may not be repeated but ran more than once.
-	Doubled int
+	Duplicated int
 	// Untrue counts operations told "not run" at the end that did run.
-	Untrue int
+	FalseNotRun int
 	// Wrong counts answers that were cut, mixed up or of another request.
-	Wrong int
+	Invalid int
 	// Silent counts requests that got no answer at all.
-	Silent int
+	NoResponse int
 	// Latencies of answered requests.
 	Latencies []time.Duration
 	// Notes tell the first few faults.
@@ -59,13 +59,13 @@
 
 // OK tells whether every count adds up.
 func (r *Report) OK() bool {
-	return r.Doubled == 0 && r.Untrue == 0 && r.Wrong == 0 && r.Asked == r.Answered+r.NotRun+r.Unknown+r.Silent
+	return r.Duplicated == 0 && r.FalseNotRun == 0 && r.Invalid == 0 && r.Sent == r.Answered+r.NotRun+r.Unknown+r.NoResponse
 }
 
 // String prints the counts as one line.
 func (r *Report) String() string {
 	return fmt.Sprintf("asked=%d answered=%d not-run=%d unknown=%d silent=%d doubled=%d untrue=%d wrong=%d",
-		r.Asked, r.Answered, r.NotRun, r.Unknown, r.Silent, r.Doubled, r.Untrue, r.Wrong)
+		r.Sent, r.Answered, r.NotRun, r.Unknown, r.NoResponse, r.Duplicated, r.FalseNotRun, r.Invalid)
 }
 
 type kind int
@@ -138,7 +138,7 @@
 	start := time.Now()
 	for ask := 0; ; ask++ {
 		op.outcome = r.send(ctx, op, key)
-		again := op.keyed && op.outcome != outcomeAnswered && ask < r.options.Asks
+		again := op.keyed && op.outcome != outcomeAnswered && ask < r.options.MaxRetries
 		if !again {
 			break
 		}
@@ -147,7 +147,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.ops = append(r.ops, op)
-	r.report.Asked++
+	r.report.Sent++
 	switch op.outcome {
 	case outcomeAnswered:
 		r.report.Answered++
@@ -157,7 +157,7 @@
 	case outcomeUnknown:
 		r.report.Unknown++
 	default:
-		r.report.Silent++
+		r.report.NoResponse++
 	}
 }
 
@@ -262,7 +262,7 @@
 
 func (r *runner) wrong(op *operation, text string) {
 	r.mu.Lock()
-	r.report.Wrong++
+	r.report.Invalid++
 	r.mu.Unlock()
 	r.note("wrong: " + op.name + ": " + text)
 }
@@ -292,11 +292,11 @@
 	for _, op := range r.ops {
 		count := runs[op.name]
 		if !op.idempotent && count > 1 {
-			r.report.Doubled++
+			r.report.Duplicated++
 			r.note(fmt.Sprintf("doubled: %s ran %d times (keyed %t)", op.name, count, op.keyed))
 		}
 		if op.outcome == outcomeNotRun && count > 0 {
-			r.report.Untrue++
+			r.report.FalseNotRun++
 			r.note(fmt.Sprintf("untrue: %s was called not run, ran %d times", op.name, count))
 		}
 		if op.outcome == outcomeAnswered && count == 0 {
--- a/standins/plainserver/plainserver.go
+++ b/standins/plainserver/plainserver.go
@@ -19,7 +19,7 @@
 	// Name is told in each answer.
 	Name string
 	// Work is how long a call takes.
-	Work time.Duration
+	WorkTime time.Duration
 	// Recorder counts executions.
 	Recorder *engine.Recorder
 	// Exit ends the process when a call's body holds EndsOn; nil where none does.
@@ -29,18 +29,18 @@
 // EndsOn in a call's body ends the server that runs it, RestsOn makes it refuse that call and
 // want no other for RestTime, LimitsOn makes it name LimitRate calls a second for LimitTime.
 const (
-	EndsOn    = "ends-its-server"
-	RestsOn   = "makes-its-server-rest"
-	RestTime  = time.Second
-	LimitsOn  = "limits-its-server"
-	LimitRate = 2
-	LimitTime = 2500 * time.Millisecond
+	CrashMarker = "ends-its-server"
+	RestMarker  = "makes-its-server-rest"
+	RestTime    = time.Second
+	LimitMarker = "limits-its-server"
+	LimitRate   = 2
+	LimitTime   = 2500 * time.Millisecond
 )
 
 // AgainstWord begins the names of calls that came while their server rested, or over its limit,
 // as Recorder gets them; the server's name and the word's beginning, in milliseconds since 1970,
 // follow.
-const AgainstWord = "against-word"
+const ViolationPrefix = "against-word"
 
 // onItsWay is for how long calls may come that were sent before a server asked for rest.
 const onItsWay = 200 * time.Millisecond
@@ -118,27 +118,27 @@
 		}
 		for _, began := range []time.Time{resting.broken(), limited.broken()} {
 			if !began.IsZero() {
-				options.Recorder.Record(fmt.Sprintf("%s-%s-%d", AgainstWord, options.Name, began.UnixMilli()))
+				options.Recorder.Record(fmt.Sprintf("%s-%s-%d", ViolationPrefix, options.Name, began.UnixMilli()))
 			}
 		}
-		if bytes.Contains(body, []byte(LimitsOn)) {
+		if bytes.Contains(body, []byte(LimitMarker)) {
 			limited.begin()
 		}
 		if limited.named() {
 			w.Header().Set("X-Engine-Limit", strconv.Itoa(LimitRate))
 		}
-		if bytes.Contains(body, []byte(RestsOn)) {
+		if bytes.Contains(body, []byte(RestMarker)) {
 			w.Header().Set("Retry-After", strconv.FormatFloat(RestTime.Seconds(), 'f', -1, 64))
 			resting.begin()
 			w.WriteHeader(http.StatusServiceUnavailable)
 			return
 		}
-		if options.Exit != nil && bytes.Contains(body, []byte(EndsOn)) {
-			time.Sleep(options.Work)
+		if options.Exit != nil && bytes.Contains(body, []byte(CrashMarker)) {
+			time.Sleep(options.WorkTime)
 			options.Exit()
 		}
-		options.Recorder.Record(engine.Operation(body))
-		time.Sleep(options.Work) // goes on although the caller left, as real services do
+		options.Recorder.Record(engine.OperationName(body))
+		time.Sleep(options.WorkTime) // goes on although the caller left, as real services do
 		w.Header().Set("Content-Type", "text/plain")
 		w.Header().Set("X-Echo", r.Header.Get("X-Echo"))
 		_, _ = fmt.Fprintf(w, "%s %s %s %s", options.Name, r.Method, r.URL.RequestURI(), body)
--- a/standins/platform/backend.go
+++ b/standins/platform/backend.go
@@ -16,21 +16,21 @@
 
 // Where BackendConfig's public routes are, and their service.
 const (
-	BackendHost    = "h.example"
-	BackendPlain   = "/plain/x"
-	BackendStream  = "/stream/x"
-	BackendService = "s"
+	BackendHost       = "h.example"
+	BackendPlainPath  = "/plain/x"
+	BackendStreamPath = "/stream/x"
+	BackendService    = "s"
 )
 
 // Backend answers as the platform's backend servers do: with the request's ID and
 // a signature, and on the stream's path with a number of events, one a write.
-func Backend(events int) http.Handler {
+func BackendHandler(events int) http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc(BackendPlain, func(w http.ResponseWriter, r *http.Request) {
+	mux.HandleFunc(BackendPlainPath, func(w http.ResponseWriter, r *http.Request) {
 		sign(w, r)
 		fmt.Fprint(w, "an answer")
 	})
-	mux.HandleFunc(BackendStream, func(w http.ResponseWriter, r *http.Request) {
+	mux.HandleFunc(BackendStreamPath, func(w http.ResponseWriter, r *http.Request) {
 		sign(w, r)
 		w.Header().Set("Content-Type", "text/event-stream")
 		stream := http.NewResponseController(w)
--- a/standins/platform/restore_test.go
+++ b/standins/platform/restore_test.go
@@ -63,11 +63,11 @@
 		t.Fatalf("%s got no lease", holder)
 	}
 	claim("a")
-	store.Copy()
+	store.TakeBackup()
 	claim("b")
 	claim("c")
 	for _, holder := range []string{"d", "e", "f"} {
-		store.Return()
+		store.RestoreBackup()
 		before := known
 		claim(holder)
 		if known <= before {
@@ -130,7 +130,7 @@
 			second, _ := followed(t, store)
 			addCustomer(t, log, "a")
 			awaitCustomers(t, first, "a")
-			store.Copy()
+			store.TakeBackup()
 			addCustomer(t, log, "b")
 			addCustomer(t, log, "c")
 			for _, r := range []*replica.Replica{first, second} {
@@ -138,7 +138,7 @@
 			}
 			revision := first.View().Get(config.KindCustomer, "c").Revision
 
-			store.Return()
+			store.RestoreBackup()
 			names := []string{"a", "b", "c"}
 			for i := range after {
 				names = append(names, fmt.Sprint("d", i))
@@ -184,7 +184,7 @@
 	other, _ := followed(t, reach[1])
 	addCustomer(t, log, "a")
 	awaitCustomers(t, other, "a")
-	store.Copy()
+	store.TakeBackup()
 	addCustomer(t, log, "b")
 	awaitCustomers(t, other, "b")
 	reach[1].cut.Store(true)
@@ -193,7 +193,7 @@
 	awaitCustomers(t, knowing, "c")
 
 	reach[0].cut.Store(true)
-	store.Return()
+	store.RestoreBackup()
 	reach[1].cut.Store(false)
 	awaitRestored(t, store)
 	done := make(chan struct{})
--- a/standins/platform/store.go
+++ b/standins/platform/store.go
@@ -53,15 +53,15 @@
 	// Down refuses every call.
 	Down bool `json:"down"`
 	// LoseAnswers carries appends out without an answer.
-	LoseAnswers bool `json:"loseAnswers"`
+	LoseResponses bool `json:"loseAnswers"`
 	// DelayMs slows every call.
 	DelayMs int64 `json:"delayMs"`
 	// Keep bounds the records that a topic keeps; 0 keeps all.
-	Keep int `json:"keep"`
+	MaxRecords int `json:"keep"`
 	// NoEra leaves the era out of the answers, as stores without one do.
-	NoEra bool `json:"noEra"`
+	OmitEra bool `json:"noEra"`
 	// Deaf makes reads that begin while it's set hear of nothing until their wait is over.
-	Deaf bool `json:"deaf"`
+	StallReads bool `json:"deaf"`
 }
 
 // NewStore returns an empty store.
@@ -72,7 +72,7 @@
 const firstEra = 1
 
 // Copy notes the topics as they are, for Return.
-func (s *Store) Copy() {
+func (s *Store) TakeBackup() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.copied = cloneTopics(s.topics)
@@ -80,7 +80,7 @@
 
 // Return makes the store come back as it was at Copy, in the next era. Reads that wait
 // hang: they are never answered.
-func (s *Store) Return() {
+func (s *Store) RestoreBackup() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.topics = cloneTopics(s.copied)
@@ -98,7 +98,7 @@
 // lock takes the lock and names the era in an answer that is given under it.
 func (s *Store) lock(w http.ResponseWriter) (era int64) {
 	s.mu.Lock()
-	if !s.faults.NoEra {
+	if !s.faults.OmitEra {
 		w.Header().Set(platform.HeaderEra, strconv.FormatInt(s.era, 10))
 	}
 	return s.era
@@ -175,7 +175,7 @@
 }
 
 func (s *Store) drop(t *topic) {
-	if over := len(t.records) - s.faults.Keep; s.faults.Keep > 0 && over > 0 {
+	if over := len(t.records) - s.faults.MaxRecords; s.faults.MaxRecords > 0 && over > 0 {
 		t.first += int64(over)
 		t.records = slices.Clone(t.records[over:])
 	}
@@ -240,7 +240,7 @@
 	for _, record := range records {
 		s.add(name, record)
 	}
-	if s.faults.LoseAnswers {
+	if s.faults.LoseResponses {
 		panic(http.ErrAbortHandler)
 	}
 	writeJSON(w, map[string]int64{"offset": end, "end": end + int64(len(records))})
@@ -282,7 +282,7 @@
 func (s *Store) state() (deaf bool, era int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.faults.Deaf, s.era
+	return s.faults.StallReads, s.era
 }
 
 // readNow answers a read if there is a record, or at any rate; never one that began in
--- a/standins/platformdaemon/compaction_test.go
+++ b/standins/platformdaemon/compaction_test.go
@@ -54,7 +54,7 @@
 		Eventually(statusWith(entry, "k1"), patience).Should(Equal(http.StatusOK))
 	}
 
-	store.SetFaults(standin.Faults{Deaf: true})
+	store.SetFaults(standin.Faults{StallReads: true})
 	store.Compact(platform.TopicOperators)
 	time.Sleep(time.Second) // each entry has begun a read that hears of nothing
 	store.SetFaults(standin.Faults{})
--- a/standins/platformdaemon/ending_group_test.go
+++ b/standins/platformdaemon/ending_group_test.go
@@ -178,7 +178,7 @@
 	f.store.Put(platform.TopicOperators, "config", groupConfig)
 	e := &endingGroup{
 		fleet: f, epoch: 1, broken: make(chan struct{}),
-		group: engine.NewGroup(engine.GroupOptions{Name: "g", Ranks: endingRanks, Experts: 8, Sets: 1, Pass: passTime}),
+		group: engine.NewGroup(engine.GroupOptions{Name: "g", Ranks: endingRanks, Experts: 8, Layers: 1, PassTime: passTime}),
 	}
 	listeners := make([]net.Listener, endingRanks)
 	for rank := range endingRanks {
--- a/standins/platformdaemon/oldercopy_test.go
+++ b/standins/platformdaemon/oldercopy_test.go
@@ -45,9 +45,9 @@
 
 // outage takes the store away for a moment, and brings it back from its copy.
 func outage(store *standin.Store) {
-	store.SetFaults(standin.Faults{Down: true, NoEra: true})
+	store.SetFaults(standin.Faults{Down: true, OmitEra: true})
 	time.Sleep(500 * time.Millisecond)
-	store.Return()
+	store.RestoreBackup()
 	store.SetFaults(standin.Faults{})
 }
 
@@ -65,7 +65,7 @@
 	// The log ends one below, level with, one past what was read: two configurations are lost.
 	for round := range 3 {
 		revoked, added := fmt.Sprint("a", round), fmt.Sprint("b", round)
-		store.Copy()
+		store.TakeBackup()
 		configure(fmt.Sprintf("%q", revoked))
 		configure(fmt.Sprintf("%q,%q", revoked, added))
 		for _, entry := range entries {
@@ -86,7 +86,7 @@
 
 func TestServersComeAndLeaveAfterTheStoreCameBackOlder(t *testing.T) {
 	store := standin.NewStore()
-	store.SetFaults(standin.Faults{NoEra: true}) // until it comes back
+	store.SetFaults(standin.Faults{OmitEra: true}) // until it comes back
 	entries, _, answer := twoEntries(t, store)
 	servers := map[string]*restingServer{}
 	addresses := map[string]string{}
@@ -113,7 +113,7 @@
 		}
 	}
 	register(store, "i-1", addresses["i-1"], "draining")
-	store.Copy()
+	store.TakeBackup()
 	register(store, "i-2", addresses["i-2"], "ready")
 	register(store, "other", addresses["i-3"], "draining")
 	for _, entry := range entries {
@@ -134,7 +134,7 @@
 	server, stop := serveAt("127.0.0.1:0", &restingServer{})
 	t.Cleanup(stop)
 	register(store, "i-1", server, "ready")
-	store.Copy()
+	store.TakeBackup()
 	store.Put(platform.TopicOperators, "config", configVersion(3, `"k2"`))
 	for _, entry := range entries {
 		Eventually(answer(entry, "k2"), patience).Should(Equal(http.StatusOK))
--- a/standins/platformdaemon/platformdaemon_test.go
+++ b/standins/platformdaemon/platformdaemon_test.go
@@ -322,7 +322,7 @@
 		store := standin.NewStore()
 		settings := entrySettings("127.0.0.1", listen("127.0.0.1:0", store))
 		store.Put(platform.TopicOperators, "config", configVersion(1, `"k1"`))
-		group := engine.NewGroup(engine.GroupOptions{Name: "g", Ranks: groupRanks, Experts: groupExperts, Sets: 1, Pass: passTime})
+		group := engine.NewGroup(engine.GroupOptions{Name: "g", Ranks: groupRanks, Experts: groupExperts, Layers: 1, PassTime: passTime})
 		base := freePorts("127.0.0.20")
 		stops := make([]func(), groupRanks)
 		for rank := range groupRanks {
@@ -349,7 +349,7 @@
 		Eventually(func() int { return len(leases(store)) }, patience).Should(BeNumerically(">", 1))
 		Expect(holderOf(store)).NotTo(Equal(holder))
 		Eventually(maps, patience).Should(BeNumerically(">", before))
-		Expect(group.State().Mixed).To(BeZero())
+		Expect(group.State().MixedPasses).To(BeZero())
 	})
 })
 
--- a/standins/popularitytrace/popularitytrace.go
+++ b/standins/popularitytrace/popularitytrace.go
@@ -16,11 +16,11 @@
 	// Intervals is the trace's length; IntervalsPerDay the season's period.
 	Intervals, IntervalsPerDay int
 	// Zipf is the exponent of the base popularity.
-	Zipf float64
+	ZipfExponent float64
 	// Drift is the random walk's step per interval, in logarithms.
-	Drift float64
+	DriftStep float64
 	// Season is the amplitude of the daily wave, in logarithms.
-	Season float64
+	SeasonAmplitude float64
 	// Noise is a measurement's relative error.
 	Noise float64
 	// PeakAt and PeakLength place the holiday peak; PeakFactor multiplies the
@@ -55,7 +55,7 @@
 	for layer := range t.logs {
 		t.peaks[layer] = make([]bool, options.Shape.Experts)
 		for place, expert := range t.random.Perm(options.Shape.Experts) {
-			t.logs[layer][expert] = -options.Zipf * math.Log(float64(place+4))
+			t.logs[layer][expert] = -options.ZipfExponent * math.Log(float64(place+4))
 			t.phases[layer][expert] = t.random.Float64() * 2 * math.Pi
 			t.peaks[layer][expert] = t.random.IntN(peakShare) == 0
 		}
@@ -71,8 +71,8 @@
 	peak := t.at >= o.PeakAt && t.at < o.PeakAt+o.PeakLength
 	for layer := range truth {
 		for expert := range truth[layer] {
-			t.logs[layer][expert] += o.Drift * t.random.NormFloat64()
-			value := math.Exp(t.logs[layer][expert] + o.Season*math.Sin(season+t.phases[layer][expert]))
+			t.logs[layer][expert] += o.DriftStep * t.random.NormFloat64()
+			value := math.Exp(t.logs[layer][expert] + o.SeasonAmplitude*math.Sin(season+t.phases[layer][expert]))
 			if peak && t.peaks[layer][expert] {
 				value *= o.PeakFactor
 			}
--- a/standins/runreport/render.go
+++ b/standins/runreport/render.go
@@ -14,7 +14,7 @@
 )
 
 // Set is several plays of a day under one name.
-type Set struct {
+type Series struct {
 	Name    string
 	Reports []*Report
 }
@@ -23,21 +23,21 @@
 const shownPrices = 3
 
 // Table writes a row a set: where its callers lost what they were owed.
-func Table(w io.Writer, sets []Set) error {
+func WriteTable(w io.Writer, sets []Series) error {
 	if _, err := fmt.Fprintln(w, "| days | plays | worth | in time, late, refused, failed, % | largest prices |\n| --- | --- | --- | --- | --- |"); err != nil {
 		return errors.Wrap(err, "table")
 	}
 	for _, set := range sets {
 		mean := Mean(set.Reports)
-		prices := slices.Clone(mean.Prices)
-		slices.SortStableFunc(prices, func(a, b Price) int { return cmp.Compare(b.Worth, a.Worth) })
+		prices := slices.Clone(mean.Penalties)
+		slices.SortStableFunc(prices, func(a, b Penalty) int { return cmp.Compare(b.Score, a.Score) })
 		shown := ""
 		for _, price := range prices[:min(shownPrices, len(prices))] {
-			shown += fmt.Sprintf("%s %.3f; ", price.Cause, price.Worth)
+			shown += fmt.Sprintf("%s %.3f; ", price.Cause, price.Score)
 		}
-		whole, owed := mean.Whole, max(mean.Whole.Owed, 1)/100
-		if _, err := fmt.Fprintf(w, "| %s | %d | %.3f | %.0f, %.0f, %.0f, %.0f | %s|\n", set.Name, len(set.Reports), mean.Worth,
-			whole.InTime/owed, whole.Late/owed, whole.Refused/owed, whole.Failed/owed, shown); err != nil {
+		whole, owed := mean.Total, max(mean.Total.Expected, 1)/100
+		if _, err := fmt.Fprintf(w, "| %s | %d | %.3f | %.0f, %.0f, %.0f, %.0f | %s|\n", set.Name, len(set.Reports), mean.Score,
+			whole.OnTime/owed, whole.Late/owed, whole.Refused/owed, whole.Failed/owed, shown); err != nil {
 			return errors.Wrap(err, "table")
 		}
 	}
@@ -51,7 +51,7 @@
 )
 
 // Plot draws the credit by second of each set into a file, whose ending gives the format.
-func Plot(path, title string, sets []Set) error {
+func WritePlot(path, title string, sets []Series) error {
 	p := plot.New()
 	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = title, "first sent at, s", "credit earned of owed"
 	p.Y.Min, p.Y.Max = 0, 1
@@ -60,7 +60,7 @@
 	for _, set := range sets {
 		points := plotter.XYs{}
 		for _, w := range Mean(set.Reports).Windows {
-			points = append(points, plotter.XY{X: w.From, Y: w.Credit})
+			points = append(points, plotter.XY{X: w.Start, Y: w.Score})
 		}
 		lines = append(lines, set.Name, points)
 	}
--- a/standins/runreport/runreport.go
+++ b/standins/runreport/runreport.go
@@ -13,26 +13,26 @@
 // Window is what became of the requests that were first sent in some seconds.
 type Window struct {
 	// From is the first second.
-	From float64
+	Start float64
 	// Owed is how many requests were owed an answer; InTime, Late, Refused and Failed
 	// are how these ended.
-	Owed, InTime, Late, Refused, Failed float64
+	Expected, OnTime, Late, Refused, Failed float64
 	// Credit is the part earned of what was owed, 0 to 1.
-	Credit float64
+	Score float64
 }
 
 // Price is what was taken off for one cause, in worth.
-type Price struct {
+type Penalty struct {
 	Cause string
-	Worth float64
+	Score float64
 }
 
 // Report is one played day.
 type Report struct {
-	Worth   float64
-	Whole   Window
-	Windows []Window
-	Prices  []Price
+	Score     float64
+	Total     Window
+	Windows   []Window
+	Penalties []Penalty
 }
 
 // countsRecord is a row of counts in a report.
@@ -49,7 +49,7 @@
 
 func (c countsRecord) window() Window {
 	return Window{
-		Owed: c.N - c.NotOwed, InTime: c.InAim, Late: c.Late, Refused: c.Refused, Failed: c.Failed, Credit: c.Worth,
+		Expected: c.N - c.NotOwed, OnTime: c.InAim, Late: c.Late, Refused: c.Refused, Failed: c.Failed, Score: c.Worth,
 	}
 }
 
@@ -61,7 +61,7 @@
 }
 
 // Read reads a report. An error names the file and the field.
-func Read(path string) (*Report, error) {
+func ReadFile(path string) (*Report, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
 		return nil, errors.Wrap(err, "report")
@@ -76,14 +76,14 @@
 	if err := json.Unmarshal(data, &record); err != nil {
 		return nil, errors.WithStack(err)
 	}
-	report := &Report{Worth: record.Worth, Whole: record.All.window()}
+	report := &Report{Score: record.Worth, Total: record.All.window()}
 	for _, w := range record.Windows {
 		from, err := strconv.ParseFloat(w.Name, 64)
 		if err != nil {
 			return nil, errors.Wrap(err, "windows: name: use the first second")
 		}
 		window := w.window()
-		window.From = from
+		window.Start = from
 		report.Windows = append(report.Windows, window)
 	}
 	for _, row := range record.Prices {
@@ -91,22 +91,22 @@
 		if err != nil {
 			return nil, err
 		}
-		report.Prices = append(report.Prices, price)
+		report.Penalties = append(report.Penalties, price)
 	}
 	return report, nil
 }
 
 // decodePrice reads a row of a cause, its amount, and its price in worth.
-func decodePrice(row []json.RawMessage) (Price, error) {
+func decodePrice(row []json.RawMessage) (Penalty, error) {
 	const columns = 3
-	var price Price
+	var price Penalty
 	if len(row) != columns {
 		return price, errors.Errorf("prices: a row has %d columns, want %d", len(row), columns)
 	}
 	if err := json.Unmarshal(row[0], &price.Cause); err != nil {
 		return price, errors.Wrap(err, "prices: cause")
 	}
-	return price, errors.Wrap(json.Unmarshal(row[columns-1], &price.Worth), "prices: worth")
+	return price, errors.Wrap(json.Unmarshal(row[columns-1], &price.Score), "prices: worth")
 }
 
 // Mean returns the mean of several plays of a day: the same seconds, other seeds.
@@ -118,32 +118,32 @@
 	part := 1 / float64(len(reports))
 	prices := map[string]int{}
 	for _, r := range reports {
-		mean.Worth += part * r.Worth
-		mean.Whole.add(r.Whole, part)
+		mean.Score += part * r.Score
+		mean.Total.add(r.Total, part)
 		for i, w := range r.Windows {
 			if i == len(mean.Windows) {
-				mean.Windows = append(mean.Windows, Window{From: w.From})
+				mean.Windows = append(mean.Windows, Window{Start: w.Start})
 			}
 			mean.Windows[i].add(w, part)
 		}
-		for _, price := range r.Prices {
+		for _, price := range r.Penalties {
 			at, known := prices[price.Cause]
 			if !known {
-				at = len(mean.Prices)
+				at = len(mean.Penalties)
 				prices[price.Cause] = at
-				mean.Prices = append(mean.Prices, Price{Cause: price.Cause})
+				mean.Penalties = append(mean.Penalties, Penalty{Cause: price.Cause})
 			}
-			mean.Prices[at].Worth += part * price.Worth
+			mean.Penalties[at].Score += part * price.Score
 		}
 	}
 	return mean
 }
 
 func (w *Window) add(other Window, part float64) {
-	w.Owed += part * other.Owed
-	w.InTime += part * other.InTime
+	w.Expected += part * other.Expected
+	w.OnTime += part * other.OnTime
 	w.Late += part * other.Late
 	w.Refused += part * other.Refused
 	w.Failed += part * other.Failed
-	w.Credit += part * other.Credit
+	w.Score += part * other.Score
 }
--- a/standins/runreport/runreport_test.go
+++ b/standins/runreport/runreport_test.go
@@ -21,17 +21,17 @@
 
 func TestATableOfSeveralPlays(t *testing.T) {
 	g := NewWithT(t)
-	set := Set{Name: "loaded", Reports: []*Report{decode(g, "0.4", "0.2"), decode(g, "0.6", "0.4")}}
-	g.Expect(Mean(set.Reports).Windows[1].Credit).To(BeNumerically("~", 0.3, 1e-9))
+	set := Series{Name: "loaded", Reports: []*Report{decode(g, "0.4", "0.2"), decode(g, "0.6", "0.4")}}
+	g.Expect(Mean(set.Reports).Windows[1].Score).To(BeNumerically("~", 0.3, 1e-9))
 	var table strings.Builder
-	g.Expect(Table(&table, []Set{set})).To(Succeed())
+	g.Expect(WriteTable(&table, []Series{set})).To(Succeed())
 	g.Expect(table.String()).To(ContainSubstring("| loaded | 2 | 0.500 | 63, 21, 11, 5 | worth refused again 0.040; machine-seconds 0.020; |"))
 }
 
 func TestAPlotIsDrawn(t *testing.T) {
 	g := NewWithT(t)
 	path := filepath.Join(t.TempDir(), "credit.svg")
-	g.Expect(Plot(path, "loaded", []Set{{Name: "before", Reports: []*Report{decode(g, "0.4", "0.2")}}})).To(Succeed())
+	g.Expect(WritePlot(path, "loaded", []Series{{Name: "before", Reports: []*Report{decode(g, "0.4", "0.2")}}})).To(Succeed())
 	drawn, err := os.ReadFile(path)
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(string(drawn)).To(ContainSubstring("before"))
--- a/standins/scenarios/group_commands_test.go
+++ b/standins/scenarios/group_commands_test.go
@@ -15,17 +15,17 @@
 	more, err := strconv.ParseInt(args[0], 10, 64)
 	ts.Check(err)
 	versions := valueOr(settings(ts, args[1:]), "versions", 0)
-	first, err := cluster.Group()
+	first, err := cluster.GroupState()
 	ts.Check(err)
 	deadline := time.Now().Add(stepsTimeout)
 	for {
-		state, err := cluster.Group()
+		state, err := cluster.GroupState()
 		ts.Check(err)
-		if state.Mixed > 0 {
+		if state.MixedPasses > 0 {
 			ts.Fatalf("a pass began with two maps: %+v", state)
 		}
 		if state.Passes >= first.Passes+more && len(state.Maps) >= len(first.Maps)+versions {
-			state.GapsUs = nil
+			state.PassIntervalsUs = nil
 			ts.Logf("group: %+v", state)
 			return
 		}
@@ -43,7 +43,7 @@
 	r := of(ts)
 	name := r.saved["holder"]
 	if args[0] == "crash" || args[0] == "pause" {
-		holder, err := r.cluster.Holder()
+		holder, err := r.cluster.LeaseHolder()
 		ts.Check(err)
 		name = holder
 		r.saved["holder"] = name
@@ -64,11 +64,11 @@
 
 // cmdEngine takes a rank's engine down or starts it again: engine RANK down|up
 func cmdEngine(ts *testscript.TestScript, _ bool, args []string) {
-	ts.Check(of(ts).cluster.GroupFault("down/" + args[0] + "/" + strconv.FormatBool(args[1] == "down")))
+	ts.Check(of(ts).cluster.InjectGroupFault("down/" + args[0] + "/" + strconv.FormatBool(args[1] == "down")))
 }
 
 // cmdOrders makes each N-th order to the group's engines go unanswered and be
 // carried out MS milliseconds later; 0 0 ends that: orders N MS
 func cmdOrders(ts *testscript.TestScript, _ bool, args []string) {
-	ts.Check(of(ts).cluster.GroupFault("late/" + args[0] + "/" + args[1]))
+	ts.Check(of(ts).cluster.InjectGroupFault("late/" + args[0] + "/" + args[1]))
 }
--- a/standins/scenarios/operator_commands_test.go
+++ b/standins/scenarios/operator_commands_test.go
@@ -44,15 +44,15 @@
 		}
 	}
 	if args[0] == "as-reader" {
-		return cluster.Reader(args[1:]...)
+		return cluster.RunReadOnlyCLI(args[1:]...)
 	}
 	name, at := strings.CutPrefix(args[0], "@")
 	if !at {
-		return cluster.Operator(args...)
+		return cluster.RunCLI(args...)
 	}
 	for _, e := range cluster.Entries {
 		if e.Name == name {
-			return cluster.OperatorAt(e.Control, args[1:]...)
+			return cluster.RunCLIAt(e.ControlAddress, args[1:]...)
 		}
 	}
 	return "", fmt.Errorf("no entry %s", name)
@@ -86,7 +86,7 @@
 			if !cluster.Processes[e.Name].Running() {
 				continue
 			}
-			out, err := cluster.OperatorAt(e.Control, "status")
+			out, err := cluster.RunCLIAt(e.ControlAddress, "status")
 			if err != nil {
 				states[err.Error()] = true
 				continue
--- a/standins/scenarios/scenarios_test.go
+++ b/standins/scenarios/scenarios_test.go
@@ -143,9 +143,9 @@
 	address := ""
 	for _, e := range cluster.Entries {
 		if e.Name == name {
-			address = e.Callers
+			address = e.CallerAddress
 			if metrics {
-				address = e.Metrics()
+				address = e.MetricsAddress()
 			}
 		}
 	}
@@ -187,8 +187,8 @@
 	dir := ts.Getenv("WORK")
 	cluster, err := harness.New(harness.Layout{
 		Zones: zones, EntriesPerZone: valueOr(v, "entries", 1), EnginesPerZone: valueOr(v, "engines", 1),
-		PlainPerZone: valueOr(v, "plain", 1), RanksPerZone: valueOr(v, "ranks", 0), IgnoreFences: valueOr(v, "unfenced", 0) > 0, Links: valueOr(v, "links", 0) > 0, Proxy: valueOr(v, "proxy", 0) > 0, EntryArgs: entryArgs, AgentArgs: agentArgs, Step: time.Duration(valueOr(v, "step", 6)) * time.Millisecond,
-		KeyWindowSeconds: 60, ClockSkewMs: valueOr(v, "skew", 50), Drain: time.Duration(valueOr(v, "drain", 20)) * time.Second,
+		PlainPerZone: valueOr(v, "plain", 1), RanksPerZone: valueOr(v, "ranks", 0), IgnoreFences: valueOr(v, "unfenced", 0) > 0, ZoneLinks: valueOr(v, "links", 0) > 0, Proxy: valueOr(v, "proxy", 0) > 0, EntryArgs: entryArgs, AgentArgs: agentArgs, StepTime: time.Duration(valueOr(v, "step", 6)) * time.Millisecond,
+		KeyWindowSeconds: 60, ClockSkewMs: valueOr(v, "skew", 50), DrainTimeout: time.Duration(valueOr(v, "drain", 20)) * time.Second,
 	}, bin, dir)
 	ts.Check(err)
 	of(ts).cluster = cluster
@@ -200,10 +200,10 @@
 func cmdLoad(ts *testscript.TestScript, _ bool, args []string) {
 	r, v := of(ts), settings(ts, args)
 	r.options = loadgen.Options{
-		Entries: r.cluster.Callers(), Keys: r.cluster.Keys, RunsURL: r.cluster.PlatformURL,
+		Entries: r.cluster.CallerAddresses(), Keys: r.cluster.Keys, RunsURL: r.cluster.PlatformURL,
 		Rate: valueOr(v, "rate", 60), Duration: time.Duration(valueOr(v, "seconds", 5)) * time.Second,
 		Tokens: valueOr(v, "tokens", 10), PlainPercent: valueOr(v, "plain", 40), StreamPercent: valueOr(v, "stream", 30),
-		UnkeyedPercent: valueOr(v, "unkeyed", 20), DeadlineMs: valueOr(v, "deadline", 20000), Asks: valueOr(v, "asks", 30),
+		UnkeyedPercent: valueOr(v, "unkeyed", 20), DeadlineMs: valueOr(v, "deadline", 20000), MaxRetries: valueOr(v, "asks", 30),
 	}
 	r.loads = make(chan loadResult, 1)
 	go func(options loadgen.Options, done chan<- loadResult) {
@@ -229,7 +229,7 @@
 	if report.Answered == 0 {
 		ts.Fatalf("nothing was answered: %s", report)
 	}
-	for name, have := range map[string]int{"unknown": report.Unknown, "not-run": report.NotRun, "silent": report.Silent} {
+	for name, have := range map[string]int{"unknown": report.Unknown, "not-run": report.NotRun, "silent": report.NoResponse} {
 		if most, ok := v[name]; ok && have > most {
 			ts.Fatalf("%s=%d, want at most %d: %s", name, have, most, report)
 		}
@@ -273,12 +273,12 @@
 	if !known {
 		ts.Fatalf("log: unknown fault %s", args[0])
 	}
-	ts.Check(of(ts).cluster.Fault("/fault/log", body))
+	ts.Check(of(ts).cluster.InjectFault("/fault/log", body))
 }
 
 // cmdCut cuts a zone from the platform: cut ZONE on|off
 func cmdCut(ts *testscript.TestScript, _ bool, args []string) {
-	ts.Check(of(ts).cluster.Fault("/fault/cut/"+args[0]+"/"+strconv.FormatBool(args[1] == "on"), ""))
+	ts.Check(of(ts).cluster.InjectFault("/fault/cut/"+args[0]+"/"+strconv.FormatBool(args[1] == "on"), ""))
 }
 
 // cmdProxy sets what the proxy between entries and agents does: proxy pass|stale|...
@@ -286,12 +286,12 @@
 	if len(args) != 1 {
 		ts.Fatalf("name one mode")
 	}
-	ts.Check(of(ts).cluster.ProxyMode(faultproxy.Mode(args[0])))
+	ts.Check(of(ts).cluster.SetProxyMode(faultproxy.Mode(args[0])))
 }
 
 // cmdVM sets what the platform's list says: vm NAME live|leaving
 func cmdVM(ts *testscript.TestScript, _ bool, args []string) {
-	ts.Check(of(ts).cluster.Fault("/fault/server/"+args[0]+"/"+args[1], ""))
+	ts.Check(of(ts).cluster.InjectFault("/fault/server/"+args[0]+"/"+args[1], ""))
 }
 
 // cmdPass lets the traffic go on: pass MILLISECONDS
--- a/standins/soak/ending.go
+++ b/standins/soak/ending.go
@@ -76,12 +76,12 @@
 
 // ask sends the request to an entry that runs. How it ends doesn't matter.
 func (c *endingCaller) ask(ctx context.Context) {
-	askOnce(ctx, c.cluster, c.random, plainserver.EndsOn)
+	askOnce(ctx, c.cluster, c.random, plainserver.CrashMarker)
 }
 
 // askOnce sends a plain call with a body to an entry that runs, if there is one.
 func askOnce(ctx context.Context, cluster *harness.Cluster, random *rand.Rand, body string) {
-	entries := cluster.Callers()
+	entries := cluster.CallerAddresses()
 	if len(entries) == 0 {
 		return
 	}
--- a/standins/soak/faults.go
+++ b/standins/soak/faults.go
@@ -41,7 +41,7 @@
 func stopped(r *run) (string, func() error, func() error) {
 	p := r.daemon()
 	return "stop " + p.Name, func() error { return p.Signal(syscall.SIGTERM) }, func() error {
-		if err := p.Ended(); err != nil {
+		if err := p.AwaitExit(); err != nil {
 			return err
 		}
 		return p.Start()
@@ -60,45 +60,45 @@
 }
 
 func proxied(r *run) (string, func() error, func() error) {
-	mode := faultproxy.Modes[r.random.IntN(len(faultproxy.Modes))]
+	mode := faultproxy.SoakModes[r.random.IntN(len(faultproxy.SoakModes))]
 	// What was held back is lost, as often as not: the requests have run, and nobody
 	// gets their answers.
 	lost := r.random.IntN(2) == 0
-	return string(mode) + " proxy", func() error { return r.cluster.ProxyMode(mode) }, func() error {
+	return string(mode) + " proxy", func() error { return r.cluster.SetProxyMode(mode) }, func() error {
 		if lost {
-			if err := r.cluster.ProxyMode(faultproxy.Reset); err != nil {
+			if err := r.cluster.SetProxyMode(faultproxy.Reset); err != nil {
 				return err
 			}
 		}
-		return r.cluster.ProxyMode(faultproxy.Pass)
+		return r.cluster.SetProxyMode(faultproxy.Pass)
 	}
 }
 
 func storeFault(r *run) (string, func() error, func() error) {
 	bodies := []string{`{"down":true}`, `{"loseAnswers":true}`, `{"delayMs":300}`, `{"keep":1}`}
 	body := bodies[r.random.IntN(len(bodies))]
-	return body + " store", func() error { return r.cluster.Fault("/fault/log", body) },
-		func() error { return r.cluster.Fault("/fault/log", `{}`) }
+	return body + " store", func() error { return r.cluster.InjectFault("/fault/log", body) },
+		func() error { return r.cluster.InjectFault("/fault/log", `{}`) }
 }
 
 func zoneCut(r *run) (string, func() error, func() error) {
 	zones := r.cluster.Layout.Zones
 	zone := zones[r.random.IntN(len(zones))]
-	return "cut zone-" + zone, func() error { return r.cluster.Fault("/fault/cut/"+zone+"/true", "") },
-		func() error { return r.cluster.Fault("/fault/cut/"+zone+"/false", "") }
+	return "cut zone-" + zone, func() error { return r.cluster.InjectFault("/fault/cut/"+zone+"/true", "") },
+		func() error { return r.cluster.InjectFault("/fault/cut/"+zone+"/false", "") }
 }
 
 // ordersLate makes the engines carry out each seventh order 800 ms late, after the
 // holder has given up on it.
 func ordersLate(r *run) (string, func() error, func() error) {
-	return "late orders", func() error { return r.cluster.GroupFault("late/7/800") },
-		func() error { return r.cluster.GroupFault("late/0/0") }
+	return "late orders", func() error { return r.cluster.InjectGroupFault("late/7/800") },
+		func() error { return r.cluster.InjectGroupFault("late/0/0") }
 }
 
 func engineDown(r *run) (string, func() error, func() error) {
 	rank := r.random.IntN(len(r.cluster.Layout.Zones) * r.cluster.Layout.RanksPerZone)
-	return fmt.Sprintf("down engine-%d", rank), func() error { return r.cluster.GroupFault(fmt.Sprintf("down/%d/true", rank)) },
-		func() error { return r.cluster.GroupFault(fmt.Sprintf("down/%d/false", rank)) }
+	return fmt.Sprintf("down engine-%d", rank), func() error { return r.cluster.InjectGroupFault(fmt.Sprintf("down/%d/true", rank)) },
+		func() error { return r.cluster.InjectGroupFault(fmt.Sprintf("down/%d/false", rank)) }
 }
 
 // changed applies a change and notes it if it's accepted.
@@ -112,7 +112,7 @@
 		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 			return errors.Wrap(err, "change")
 		}
-		out, err := r.cluster.Operator("apply", "-f", path, "--reason", "soak")
+		out, err := r.cluster.RunCLI("apply", "-f", path, "--reason", "soak")
 		verdict := strings.TrimSpace(out)
 		r.say("change %d: %.80s", weight, verdict)
 		if err == nil {
--- a/standins/soak/resting.go
+++ b/standins/soak/resting.go
@@ -40,7 +40,7 @@
 
 // run asks until the context ends.
 func (c *restingCaller) run(ctx context.Context) {
-	words := []string{plainserver.RestsOn, plainserver.LimitsOn}
+	words := []string{plainserver.RestMarker, plainserver.LimitMarker}
 	for n := 0; ctx.Err() == nil; n++ {
 		askOnce(ctx, c.cluster, c.random, words[n%len(words)])
 		time.Sleep(restEach)
@@ -77,7 +77,7 @@
 		return errors.Wrap(err, "runs")
 	}
 	for name, count := range runs {
-		rest, against := strings.CutPrefix(name, plainserver.AgainstWord+"-")
+		rest, against := strings.CutPrefix(name, plainserver.ViolationPrefix+"-")
 		if !against {
 			continue
 		}
--- a/standins/soak/returning.go
+++ b/standins/soak/returning.go
@@ -33,11 +33,11 @@
 // run copies the store and brings it back until the context ends.
 func (s *returningStore) run(ctx context.Context) {
 	for s.err == nil && wait.For(ctx, time.Duration(s.random.Int64N(int64(copyEach)))) {
-		s.err = s.cluster.Fault("/fault/log/copy", "")
+		s.err = s.cluster.InjectFault("/fault/log/copy", "")
 		if s.err != nil || !wait.For(ctx, time.Duration(s.random.Int64N(int64(copyAge)))) {
 			return
 		}
-		s.err = s.cluster.Fault("/fault/log/return", "")
+		s.err = s.cluster.InjectFault("/fault/log/return", "")
 		s.say("the store has come back from its copy")
 	}
 }
--- a/standins/soak/soak.go
+++ b/standins/soak/soak.go
@@ -65,8 +65,8 @@
 // itself failed.
 func Run(o Options) error {
 	cluster, err := harness.New(harness.Layout{
-		Zones: []string{"a", "b"}, EntriesPerZone: 2, EnginesPerZone: 1, PlainPerZone: 1, RanksPerZone: 2, Links: true, Proxy: true,
-		Step: 6 * time.Millisecond, KeyWindowSeconds: 60, ClockSkewMs: 50, Drain: drainTimeout,
+		Zones: []string{"a", "b"}, EntriesPerZone: 2, EnginesPerZone: 1, PlainPerZone: 1, RanksPerZone: 2, ZoneLinks: true, Proxy: true,
+		StepTime: 6 * time.Millisecond, KeyWindowSeconds: 60, ClockSkewMs: 50, DrainTimeout: drainTimeout,
 	}, o.Bin, o.Dir)
 	if err != nil {
 		return err
@@ -75,7 +75,7 @@
 	if err := cluster.Start(); err != nil {
 		return err
 	}
-	if err := cluster.Litter(); err != nil {
+	if err := cluster.WriteMalformedRecords(); err != nil {
 		return err
 	}
 	r := &run{
@@ -88,8 +88,8 @@
 	done := make(chan loaded, 1)
 	go func() {
 		report, err := loadgen.Run(context.Background(), loadgen.Options{
-			Entries: cluster.Callers(), Keys: cluster.Keys, RunsURL: cluster.PlatformURL, Rate: rate, Duration: o.Length + tail,
-			Tokens: 10, PlainPercent: 50, StreamPercent: 30, UnkeyedPercent: 30, DeadlineMs: int(requestDeadline / time.Millisecond), Asks: 20,
+			Entries: cluster.CallerAddresses(), Keys: cluster.Keys, RunsURL: cluster.PlatformURL, Rate: rate, Duration: o.Length + tail,
+			Tokens: 10, PlainPercent: 50, StreamPercent: 30, UnkeyedPercent: 30, DeadlineMs: int(requestDeadline / time.Millisecond), MaxRetries: 20,
 		})
 		done <- loaded{report, err}
 	}()
@@ -202,7 +202,7 @@
 
 // settle checks what must hold once all faults are over.
 func (r *run) settle() error {
-	before, err := r.cluster.Group()
+	before, err := r.cluster.GroupState()
 	if err != nil {
 		return err
 	}
@@ -224,11 +224,11 @@
 
 // unsettled returns what doesn't hold yet.
 func (r *run) unsettled(passes int64) error {
-	group, err := r.cluster.Group()
+	group, err := r.cluster.GroupState()
 	if err != nil {
 		return err
 	}
-	if group.Mixed > 0 {
+	if group.MixedPasses > 0 {
 		return errMixed
 	}
 	const more = 50
@@ -237,7 +237,7 @@
 	}
 	hashes := map[string]bool{}
 	for _, e := range r.cluster.Entries {
-		out, err := r.cluster.OperatorAt(e.Control, "status")
+		out, err := r.cluster.RunCLIAt(e.ControlAddress, "status")
 		if err != nil {
 			return err
 		}
@@ -248,7 +248,7 @@
 		return errors.Errorf("entries differ: %v", hashes)
 	}
 	for customer, weight := range r.changed {
-		out, err := r.cluster.Operator("-o", "json", "get", "Customer", customer)
+		out, err := r.cluster.RunCLI("-o", "json", "get", "Customer", customer)
 		if err != nil {
 			return err
 		}
