--- a/standins/bench/admission.go
+++ b/standins/bench/admission.go
@@ -20,15 +20,15 @@
 	now     time.Time
 	events  eventHeap
 	random  *rand.Rand
-	started map[string]job
+	jobs    map[string]job
 	id      int
 	running int
 
-	urgent     []float64 // times from arrival to answer, in milliseconds
-	urgentSent int
-	urgentKept int
-	good       float64 // cost answered in time
-	shares     map[string]float64
+	urgentLatencies []float64 // times from arrival to answer, in milliseconds
+	urgentSent      int
+	urgentOnTime    int
+	goodput         float64 // cost answered in time
+	costByCustomer  map[string]float64
 }
 
 type job struct {
@@ -92,8 +92,8 @@
 	}
 	return &serverSim{
 		queue: admission.NewQueue(admission.Options{Limit: limit, MaxQueued: 2000, PatientPercent: percent}),
-		now:   benchStart, random: rand.New(rand.NewPCG(seed, 9)), started: map[string]job{},
-		shares: map[string]float64{},
+		now:   simStart, random: rand.New(rand.NewPCG(seed, 9)), jobs: map[string]job{},
+		costByCustomer: map[string]float64{},
 	}
 }
 
@@ -130,34 +130,34 @@
 	if a.class == config.ClassUrgent {
 		s.urgentSent++
 	}
-	s.started[id] = job{request: request, arrived: s.now, cost: a.cost * (0.5 + s.random.Float64())}
+	s.jobs[id] = job{request: request, arrived: s.now, cost: a.cost * (0.5 + s.random.Float64())}
 	if s.queue.Offer(s.now, request) != nil {
-		delete(s.started, id)
+		delete(s.jobs, id)
 	}
 }
 
 func (s *serverSim) begin(request admission.Request) {
 	s.running++
-	j := s.started[request.ID]
-	slow := max(1, float64(s.running)/simBatch)
-	took := time.Duration(j.cost * slow * float64(simTokenTime))
+	j := s.jobs[request.ID]
+	slowdown := max(1, float64(s.running)/simBatch)
+	took := time.Duration(j.cost * slowdown * float64(simTokenTime))
 	heap.Push(&s.events, event{at: s.now.Add(took), done: request.ID})
 }
 
 func (s *serverSim) finish(id string) {
 	s.running--
-	j := s.started[id]
-	delete(s.started, id)
+	j := s.jobs[id]
+	delete(s.jobs, id)
 	s.queue.Done(s.now, id, j.cost, true)
-	s.shares[j.request.Customer] += j.cost
-	inTime := !s.now.After(j.request.Deadline)
-	if inTime {
-		s.good += j.cost
+	s.costByCustomer[j.request.Customer] += j.cost
+	onTime := !s.now.After(j.request.Deadline)
+	if onTime {
+		s.goodput += j.cost
 	}
 	if j.request.Class == config.ClassUrgent {
-		s.urgent = append(s.urgent, s.now.Sub(j.arrived).Seconds()*1000)
-		if inTime {
-			s.urgentKept++
+		s.urgentLatencies = append(s.urgentLatencies, s.now.Sub(j.arrived).Seconds()*1000)
+		if onTime {
+			s.urgentOnTime++
 		}
 	}
 }
@@ -165,11 +165,11 @@
 // flood is urgent work at a tenth of the capacity and patient work that brings
 // the whole to load times the capacity. In first-in-first-out order all is of
 // one class and one customer.
-func flood(load float64, fifo bool) []*arrival {
+func arrivalsFor(load float64, fifo bool) []*arrival {
 	urgentRate := 0.1 * capacity / urgentCost
 	patientRate := (load - 0.1) * capacity / patientCost
-	urgent := &arrival{customer: "courier", class: config.ClassUrgent, every: per(urgentRate), deadline: urgentDeadline, cost: urgentCost}
-	patient := &arrival{customer: "drafts", class: config.ClassPatient, every: per(patientRate), deadline: 20 * time.Second, cost: patientCost}
+	urgent := &arrival{customer: "courier", class: config.ClassUrgent, every: interval(urgentRate), deadline: urgentDeadline, cost: urgentCost}
+	patient := &arrival{customer: "drafts", class: config.ClassPatient, every: interval(patientRate), deadline: 20 * time.Second, cost: patientCost}
 	if fifo {
 		urgent.customer, urgent.class = "all", config.ClassUrgent
 		patient.customer, patient.class = "all", config.ClassUrgent
@@ -177,40 +177,40 @@
 	return []*arrival{urgent, patient}
 }
 
-func per(rate float64) time.Duration { return time.Duration(float64(time.Second) / rate) }
+func interval(rate float64) time.Duration { return time.Duration(float64(time.Second) / rate) }
 
 const simLength = 2 * time.Minute
 
 // Admission measures promptness, fairness, goodput, speed and memory.
 func (r *Reporter) Admission() {
-	half := 0.0
+	baseline := 0.0
 	for _, load := range []float64{0.5, 1, 2, 5} {
 		s := newServerSim(false, 1)
-		s.run(flood(load, false), simLength)
+		s.run(arrivalsFor(load, false), simLength)
 		name := fmt.Sprintf("admission/load-%g", load)
-		p99 := Quantile(s.urgent, 0.99)
-		if half == 0 {
-			half = p99
+		p99 := Quantile(s.urgentLatencies, 0.99)
+		if baseline == 0 {
+			baseline = p99
 		}
-		r.Figure(name+"/urgent-p50", Quantile(s.urgent, 0.5), "ms")
-		r.Compare(name+"/urgent-p99", p99, "ms", half)
-		kept := 100 * float64(s.urgentKept) / float64(s.urgentSent)
-		r.Compare(name+"/urgent-in-time", kept, "%", s.fifoKept(load))
+		r.Figure(name+"/urgent-p50", Quantile(s.urgentLatencies, 0.5), "ms")
+		r.Compare(name+"/urgent-p99", p99, "ms", baseline)
+		onTime := 100 * float64(s.urgentOnTime) / float64(s.urgentSent)
+		r.Compare(name+"/urgent-in-time", onTime, "%", s.fifoOnTime(load))
 	}
-	r.jain()
+	r.fairness()
 	r.goodput()
-	r.queueSpeed()
+	r.queueThroughput()
 }
 
 // fifoKept returns the share of urgent requests in time when all wait in one
 // line. Urgent ones are told by their deadline.
-func (s *serverSim) fifoKept(load float64) float64 {
-	line := newFifo(1)
-	line.run(load, simLength)
-	return 100 * float64(line.kept) / float64(line.sent)
+func (s *serverSim) fifoOnTime(load float64) float64 {
+	fifo := newFIFOSim(1)
+	fifo.run(load, simLength)
+	return 100 * float64(fifo.onTime) / float64(fifo.sent)
 }
 
-func (r *Reporter) jain() {
+func (r *Reporter) fairness() {
 	s := newServerSim(false, 2)
 	var arrivals []*arrival
 	for i := range 20 {
@@ -218,11 +218,11 @@
 		if i == 0 {
 			rate *= 50
 		}
-		arrivals = append(arrivals, &arrival{customer: fmt.Sprint(i), class: config.ClassNormal, every: per(rate), deadline: 5 * time.Second, cost: urgentCost})
+		arrivals = append(arrivals, &arrival{customer: fmt.Sprint(i), class: config.ClassNormal, every: interval(rate), deadline: 5 * time.Second, cost: urgentCost})
 	}
 	s.run(arrivals, time.Minute)
 	sum, squares := 0.0, 0.0
-	for _, share := range s.shares {
+	for _, share := range s.costByCustomer {
 		sum += share
 		squares += share * share
 	}
@@ -233,14 +233,14 @@
 	peak := 0.0
 	for _, load := range []float64{0.5, 1, 2, 5} {
 		s := newServerSim(false, 3)
-		s.run([]*arrival{{customer: "c", class: config.ClassNormal, every: per(load * capacity / urgentCost), deadline: time.Second, cost: urgentCost}}, time.Minute)
-		good := s.good / 60 / capacity * 100
+		s.run([]*arrival{{customer: "c", class: config.ClassNormal, every: interval(load * capacity / urgentCost), deadline: time.Second, cost: urgentCost}}, time.Minute)
+		good := s.goodput / 60 / capacity * 100
 		peak = max(peak, good)
 		r.Compare(fmt.Sprintf("admission/goodput-%g", load), good, "%", peak)
 	}
 }
 
-func (r *Reporter) queueSpeed() {
+func (r *Reporter) queueThroughput() {
 	const customers = 4200
 	q := admission.NewQueue(admission.Options{Limit: admission.LimitOptions{Min: 16, Max: 16}, MaxQueued: 1 << 20, PatientPercent: 10})
 	var before, after runtime.MemStats
@@ -249,9 +249,9 @@
 	id := 0
 	offer := func() {
 		id++
-		_ = q.Offer(benchStart, admission.Request{ // the queue is large enough
+		_ = q.Offer(simStart, admission.Request{ // the queue is large enough
 			ID: fmt.Sprint(id), Customer: fmt.Sprint("customer-", id%customers), Weight: 1,
-			Class: config.ClassNormal, Cost: 20, Deadline: benchStart.Add(time.Hour),
+			Class: config.ClassNormal, Cost: 20, Deadline: simStart.Add(time.Hour),
 		})
 	}
 	for range 2 * customers {
@@ -261,7 +261,7 @@
 	runtime.ReadMemStats(&after)
 	r.Figure("admission/memory-4200-customers-8400-queued", float64(after.HeapAlloc-before.HeapAlloc)/(1<<20), "MiB")
 	result := testing.Benchmark(func(b *testing.B) {
-		now := benchStart
+		now := simStart
 		for range b.N {
 			offer()
 			now = now.Add(time.Microsecond)
--- a/standins/bench/bench.go
+++ b/standins/bench/bench.go
@@ -19,7 +19,7 @@
 }
 
 // inLogs runs an area with a folder for the logs of its processes, which stays if it fails.
-func inLogs(area func(dir string) error) error {
+func withLogDir(area func(dir string) error) error {
 	dir, err := os.MkdirTemp("", "crowbridge-bench-")
 	if err != nil {
 		return errors.Wrap(err, "logs")
--- a/standins/bench/config.go
+++ b/standins/bench/config.go
@@ -13,11 +13,11 @@
 
 // Letter 1's size.
 const (
-	sizeCustomers = 4200
-	sizeModels    = 25
-	sizeServers   = 2400
-	sizeChanges   = 8600
-	sizeZones     = 10
+	sizeCustomers    = 4200
+	sizeModels       = 25
+	sizeServers      = 2400
+	sizeDailyChanges = 8600
+	sizeZones        = 10
 )
 
 // Config measures the fold, snapshots, memory and the routing index at the size
@@ -27,10 +27,10 @@
 	runtime.GC()
 	runtime.ReadMemStats(&before)
 	state := config.NewState()
-	if err := foldFirst(state); err != nil {
+	if err := applyInitial(state); err != nil {
 		return err
 	}
-	entries, err := changes(state)
+	entries, err := dailyChanges(state)
 	if err != nil {
 		return err
 	}
@@ -58,16 +58,16 @@
 	return r.index(state)
 }
 
-func bundleEntry(offset int64, command string, objects []*config.Object) (config.LogEntry, error) {
+func newBundleEntry(offset int64, command string, objects []*config.Object) (config.LogEntry, error) {
 	bundle := &config.Bundle{CommandID: command, Actor: "ops", Reason: "bench"}
 	for _, o := range objects {
 		bundle.Changes = append(bundle.Changes, config.Change{Kind: o.Kind, Name: o.Name, Object: o, ExpectedRevision: config.AnyRevision})
 	}
 	data, err := (&config.Record{Format: config.FormatVersion, Kind: config.RecordChange, Bundle: bundle}).Encode()
-	return config.LogEntry{Position: storelog.Position(offset), TimeMs: benchStart.UnixMilli(), Data: data}, err
+	return config.LogEntry{Position: storelog.Position(offset), TimeMs: simStart.UnixMilli(), Data: data}, err
 }
 
-func customer(i, weight int) *config.Object {
+func newCustomer(i, weight int) *config.Object {
 	return &config.Object{
 		Kind: config.KindCustomer, Name: fmt.Sprintf("customer-%04d", i),
 		Labels:   map[string]string{"tier": fmt.Sprintf("t%d", i%4), "region": fmt.Sprintf("r%d", i%4)},
@@ -76,7 +76,7 @@
 }
 
 // foldFirst folds the whole deployment as one change.
-func foldFirst(state *config.State) error {
+func applyInitial(state *config.State) error {
 	var objects []*config.Object
 	for i := range sizeModels {
 		objects = append(objects, &config.Object{
@@ -104,9 +104,9 @@
 		})
 	}
 	for i := range sizeCustomers {
-		objects = append(objects, customer(i, 1))
+		objects = append(objects, newCustomer(i, 1))
 	}
-	entry, err := bundleEntry(0, "first", objects)
+	entry, err := newBundleEntry(0, "first", objects)
 	if err != nil {
 		return err
 	}
@@ -120,10 +120,10 @@
 }
 
 // changes returns a day's changes, one customer each.
-func changes(state *config.State) ([]config.LogEntry, error) {
-	entries := make([]config.LogEntry, 0, sizeChanges)
-	for i := range sizeChanges {
-		e, err := bundleEntry(int64(state.Position)+1+int64(i), fmt.Sprint("change-", i), []*config.Object{customer(i*7%sizeCustomers, 1+i%9)})
+func dailyChanges(state *config.State) ([]config.LogEntry, error) {
+	entries := make([]config.LogEntry, 0, sizeDailyChanges)
+	for i := range sizeDailyChanges {
+		e, err := newBundleEntry(int64(state.Position)+1+int64(i), fmt.Sprint("change-", i), []*config.Object{newCustomer(i*7%sizeCustomers, 1+i%9)})
 		if err != nil {
 			return nil, err
 		}
@@ -160,11 +160,11 @@
 		return err
 	}
 	r.Figure("config/index-rebuild", float64(time.Since(start).Microseconds())/1000, "ms")
-	who := index.Customer("customer-0001")
+	caller := index.Customer("customer-0001")
 	const lookups = 200000
 	start = time.Now()
 	for i := range lookups {
-		if index.RouteForModel(who, fmt.Sprintf("model-%02d", i%sizeModels), benchStart) == nil {
+		if index.RouteForModel(caller, fmt.Sprintf("model-%02d", i%sizeModels), simStart) == nil {
 			return errors.New("no route")
 		}
 	}
--- a/standins/bench/control.go
+++ b/standins/bench/control.go
@@ -18,13 +18,13 @@
 	"github.com/crowbridge/crowbridge/standins/harness"
 )
 
-const controlLength = 10 * time.Second
+const controlDuration = 10 * time.Second
 
 // Control measures what a daemon spends on control as daemons and servers grow,
 // how soon a change is in force, and how soon a fresh VM serves.
 func (r *Reporter) Control(bin string) error {
 	for _, size := range []struct{ entriesPerZone, serversPerZone int }{{2, 6}, {8, 6}, {32, 6}, {2, 24}, {2, 48}, {8, 24}, {8, 48}} {
-		err := inLogs(func(dir string) error { return r.controlAt(bin, dir, size.entriesPerZone, size.serversPerZone) })
+		err := withLogDir(func(dir string) error { return r.controlAt(bin, dir, size.entriesPerZone, size.serversPerZone) })
 		if err != nil {
 			return err
 		}
@@ -91,26 +91,26 @@
 	for processName, p := range cluster.Processes {
 		before[processName] = usageOf(p)
 	}
-	time.Sleep(controlLength)
-	r.mean(cluster, before, name+"/entry", "entry-")
-	r.mean(cluster, before, name+"/agent", "agent-")
+	time.Sleep(controlDuration)
+	r.printMeans(cluster, before, name+"/entry", "entry-")
+	r.printMeans(cluster, before, name+"/agent", "agent-")
 	platform := usageOf(cluster.Processes["platform"])
-	r.Figure(name+"/log-cpu", 100*(platform.cpu-before["platform"].cpu)/controlLength.Seconds(), "% core")
-	r.Figure(name+"/log-bytes", (platform.bytes-before["platform"].bytes)/controlLength.Seconds()/1024, "KiB/s")
-	if err := r.inForce(cluster, name+"/in-force", "{}"); err != nil {
+	r.Figure(name+"/log-cpu", 100*(platform.cpu-before["platform"].cpu)/controlDuration.Seconds(), "% core")
+	r.Figure(name+"/log-bytes", (platform.bytes-before["platform"].bytes)/controlDuration.Seconds()/1024, "KiB/s")
+	if err := r.measurePropagation(cluster, name+"/in-force", "{}"); err != nil {
 		return err
 	}
 	if entriesPerZone != 2 || serversPerZone != 6 {
 		return nil
 	}
-	if err := r.inForce(cluster, name+"/in-force-slow-log", `{"delayMs":300}`); err != nil {
+	if err := r.measurePropagation(cluster, name+"/in-force-slow-log", `{"delayMs":300}`); err != nil {
 		return err
 	}
-	return r.freshVM(cluster, name)
+	return r.measureStartup(cluster, name)
 }
 
-func (r *Reporter) mean(cluster *harness.Cluster, before map[string]usage, name, prefix string) {
-	n, cpu, traffic, memory, most := 0.0, 0.0, 0.0, 0.0, 0.0
+func (r *Reporter) printMeans(cluster *harness.Cluster, before map[string]usage, name, prefix string) {
+	n, cpu, traffic, memory, maxTraffic := 0.0, 0.0, 0.0, 0.0, 0.0
 	for processName, p := range cluster.Processes {
 		if !strings.HasPrefix(processName, prefix) {
 			continue
@@ -119,28 +119,28 @@
 		n++
 		cpu += now.cpu - before[processName].cpu
 		traffic += now.bytes - before[processName].bytes
-		most = max(most, now.bytes-before[processName].bytes)
+		maxTraffic = max(maxTraffic, now.bytes-before[processName].bytes)
 		memory += rssMiB(p)
 	}
-	seconds := controlLength.Seconds()
+	seconds := controlDuration.Seconds()
 	r.Figure(name+"-cpu", 100*cpu/n/seconds, "% core")
 	r.Figure(name+"-bytes", traffic/n/seconds/1024, "KiB/s")
-	r.Figure(name+"-bytes-most", most/seconds/1024, "KiB/s")
+	r.Figure(name+"-bytes-most", maxTraffic/seconds/1024, "KiB/s")
 	r.Figure(name+"-memory", memory/n, "MiB")
 }
 
-const inForceChanges = 30
+const propagationChanges = 30
 
 // inForce appends changes and measures until every entry has each, against a
 // process that polls the log once a second.
-func (r *Reporter) inForce(cluster *harness.Cluster, name, faults string) error {
+func (r *Reporter) measurePropagation(cluster *harness.Cluster, name, faults string) error {
 	if err := cluster.InjectFault("/fault/log", faults); err != nil {
 		return err
 	}
 	client := daemon.NewControlClient(harness.DaemonKey)
 	var times []float64
-	for i := range inForceChanges {
-		at, err := appendChange(cluster, fmt.Sprint(name, i))
+	for i := range propagationChanges {
+		position, err := appendChange(cluster, fmt.Sprint(name, i))
 		if err != nil {
 			return err
 		}
@@ -149,7 +149,7 @@
 		var mu sync.Mutex
 		for _, e := range cluster.Entries {
 			group.Go(func() {
-				awaitPosition(client, e.ControlAddress, at)
+				awaitPosition(client, e.ControlAddress, position)
 				mu.Lock()
 				defer mu.Unlock()
 				times = append(times, time.Since(start).Seconds()*1000)
@@ -168,10 +168,10 @@
 	return cluster.InjectFault("/fault/log", "{}")
 }
 
-func awaitPosition(client *http.Client, control string, at storelog.Position) {
+func awaitPosition(client *http.Client, control string, position storelog.Position) {
 	source := replica.NewPeerSource(control, "", client)
 	for {
-		batch, err := source.Records(context.Background(), at-1, 5*time.Second)
+		batch, err := source.Records(context.Background(), position-1, 5*time.Second)
 		if err == nil && len(batch.Entries) > 0 {
 			return
 		}
@@ -179,7 +179,7 @@
 }
 
 func appendChange(cluster *harness.Cluster, command string) (storelog.Position, error) {
-	entry, err := bundleEntry(0, command, []*config.Object{customer(1, 1)})
+	entry, err := newBundleEntry(0, command, []*config.Object{newCustomer(1, 1)})
 	if err != nil {
 		return 0, err
 	}
@@ -188,7 +188,7 @@
 }
 
 // freshVM measures from a process's start to its readiness.
-func (r *Reporter) freshVM(cluster *harness.Cluster, name string) error {
+func (r *Reporter) measureStartup(cluster *harness.Cluster, name string) error {
 	entry := cluster.Entries[0]
 	for _, log := range []struct{ name, faults string }{{"with-log", "{}"}, {"without-log", `{"down":true}`}} {
 		if err := cluster.InjectFault("/fault/log", log.faults); err != nil {
@@ -203,7 +203,7 @@
 			if err := cluster.Processes[entry.Name].Start(); err != nil {
 				return err
 			}
-			for !ready(entry.MetricsAddress()) {
+			for !isReady(entry.MetricsAddress()) {
 				time.Sleep(2 * time.Millisecond)
 			}
 			times = append(times, time.Since(start).Seconds()*1000)
@@ -213,7 +213,7 @@
 	return cluster.InjectFault("/fault/log", "{}")
 }
 
-func ready(address string) bool {
+func isReady(address string) bool {
 	response, err := http.Get("http://" + address + "/readyz")
 	if err != nil {
 		return false
--- a/standins/bench/fifo.go
+++ b/standins/bench/fifo.go
@@ -8,31 +8,31 @@
 // fifoSim is the baseline: the same server and arrivals, one line, first in,
 // first out, at most simBatch running, nothing refused.
 type fifoSim struct {
-	random     *rand.Rand
-	sent, kept int
+	random       *rand.Rand
+	sent, onTime int
 }
 
-func newFifo(seed uint64) *fifoSim { return &fifoSim{random: rand.New(rand.NewPCG(seed, 9))} }
+func newFIFOSim(seed uint64) *fifoSim { return &fifoSim{random: rand.New(rand.NewPCG(seed, 9))} }
 
 func (f *fifoSim) run(load float64, length time.Duration) {
 	free := make([]time.Time, simBatch) // when each slot is free
 	for i := range free {
-		free[i] = benchStart
+		free[i] = simStart
 	}
-	arrivals := flood(load, true)
-	next := []time.Time{benchStart, benchStart}
-	end := benchStart.Add(length)
+	arrivals := arrivalsFor(load, true)
+	next := []time.Time{simStart, simStart}
+	end := simStart.Add(length)
 	for {
-		which := 0
+		class := 0
 		if next[1].Before(next[0]) {
-			which = 1
+			class = 1
 		}
-		now := next[which]
+		now := next[class]
 		if now.After(end) {
 			return
 		}
-		a := arrivals[which]
-		next[which] = now.Add(time.Duration(f.random.ExpFloat64() * float64(a.every)))
+		a := arrivals[class]
+		next[class] = now.Add(time.Duration(f.random.ExpFloat64() * float64(a.every)))
 		slot := 0
 		for i := range free {
 			if free[i].Before(free[slot]) {
@@ -44,10 +44,10 @@
 			start = free[slot]
 		}
 		free[slot] = start.Add(time.Duration(a.cost * (0.5 + f.random.Float64()) * float64(simTokenTime)))
-		if which == 0 {
+		if class == 0 {
 			f.sent++
 			if free[slot].Sub(now) <= a.deadline {
-				f.kept++
+				f.onTime++
 			}
 		}
 	}
--- a/standins/bench/group.go
+++ b/standins/bench/group.go
@@ -8,15 +8,15 @@
 )
 
 const (
-	groupLength  = 15 * time.Second
-	groupTimeout = 30 * time.Second
-	groupPoll    = 10 * time.Millisecond
+	groupDuration = 15 * time.Second
+	groupTimeout  = 30 * time.Second
+	groupPoll     = 10 * time.Millisecond
 )
 
 // Group measures, with four ranks in real processes, how long map switches stall
 // the group, and how soon a new holder orders after one has died.
 func (r *Reporter) Group(bin string) error {
-	return inLogs(func(dir string) error { return r.groupIn(bin, dir) })
+	return withLogDir(func(dir string) error { return r.groupIn(bin, dir) })
 }
 
 func (r *Reporter) groupIn(bin, dir string) error {
@@ -34,10 +34,10 @@
 	if err := awaitVersions(cluster, 2); err != nil {
 		return err
 	}
-	if err := r.stalls(cluster); err != nil {
+	if err := r.measureStalls(cluster); err != nil {
 		return err
 	}
-	return r.takeover(cluster)
+	return r.measureTakeover(cluster)
 }
 
 func awaitVersions(cluster *harness.Cluster, n int) error {
@@ -53,12 +53,12 @@
 	return errors.Errorf("the group has not used %d maps", n)
 }
 
-func (r *Reporter) stalls(cluster *harness.Cluster) error {
+func (r *Reporter) measureStalls(cluster *harness.Cluster) error {
 	before, err := cluster.GroupState()
 	if err != nil {
 		return err
 	}
-	time.Sleep(groupLength)
+	time.Sleep(groupDuration)
 	after, err := cluster.GroupState()
 	if err != nil {
 		return err
@@ -67,21 +67,21 @@
 		return errors.Errorf("%d passes with two maps", after.MixedPasses)
 	}
 	steps := int(after.Passes - before.Passes)
-	gaps := make([]float64, 0, steps)
-	for _, gap := range after.PassIntervalsUs[max(0, len(after.PassIntervalsUs)-steps):] {
-		gaps = append(gaps, float64(gap)/1000)
+	intervals := make([]float64, 0, steps)
+	for _, interval := range after.PassIntervalsUs[max(0, len(after.PassIntervalsUs)-steps):] {
+		intervals = append(intervals, float64(interval)/1000)
 	}
-	middle := Quantile(gaps, 0.5)
+	median := Quantile(intervals, 0.5)
 	r.Figure("group/4-ranks/passes", float64(steps), "passes")
 	r.Figure("group/4-ranks/switches", float64(len(after.Maps)-len(before.Maps)), "switches")
-	r.Figure("group/4-ranks/pass-p50", middle, "ms")
-	r.Compare("group/4-ranks/pass-p99", Quantile(gaps, 0.99), "ms", middle)
-	r.Compare("group/4-ranks/pass-worst", Quantile(gaps, 1), "ms", middle)
+	r.Figure("group/4-ranks/pass-p50", median, "ms")
+	r.Compare("group/4-ranks/pass-p99", Quantile(intervals, 0.99), "ms", median)
+	r.Compare("group/4-ranks/pass-worst", Quantile(intervals, 1), "ms", median)
 	return nil
 }
 
 // takeover crashes the holder and waits for the next map that another brings in.
-func (r *Reporter) takeover(cluster *harness.Cluster) error {
+func (r *Reporter) measureTakeover(cluster *harness.Cluster) error {
 	holder, err := cluster.LeaseHolder()
 	if err != nil {
 		return err
--- a/standins/bench/limits.go
+++ b/standins/bench/limits.go
@@ -12,14 +12,14 @@
 const (
 	// limitsPerSecond is what each server names in the area limits, limitsAsked how many times
 	// as much is asked for.
-	limitsPerSecond = 2.0
-	limitsAsked     = 3.0
+	limitsPerSecond    = 2.0
+	limitsDemandFactor = 3.0
 	// limitsCounted is how long figures are taken after a fleet has settled.
-	limitsCounted = 10 * time.Second
+	limitsMeasureTime = 10 * time.Second
 	// limitsJump is how many times as much servers name in the end.
-	limitsJump = 5.0
+	limitsIncreaseFactor = 5.0
 	// limitsUsed is the part of a limit that counts as used after a jump.
-	limitsUsed = 0.8
+	limitsUsedFraction = 0.8
 )
 
 // Limits plays daemons that keep servers' limits together, in virtual time: the most that one
@@ -30,22 +30,22 @@
 	for _, size := range []struct{ daemons, servers int }{{8, 1}, {8, 24}, {32, 1}, {32, 24}, {128, 1}, {128, 24}, {410, 1}, {410, 24}} {
 		r.limitsAt(size.daemons, size.servers)
 	}
-	cut := limitsim.New(1, 8, 1, limitsPerSecond)
-	spreadDemand(cut, 1)
-	cut.Run(limitsim.SettleTime)
-	from := cut.Now
-	for i, d := range cut.Daemons {
+	partitioned := limitsim.New(1, 8, 1, limitsPerSecond)
+	spreadDemand(partitioned, 1)
+	partitioned.Run(limitsim.SettleTime)
+	from := partitioned.Now
+	for i, d := range partitioned.Daemons {
 		d.Partition = i % 2
 	}
-	cut.Run(limitsCounted)
-	_, worst := cut.CountSince(from)
-	r.Compare("limits/worst_4s_in_a_cut_8_daemons_1_server", float64(worst), "requests", limitsPerSecond*limitsim.Window.Seconds())
+	partitioned.Run(limitsMeasureTime)
+	_, maxInWindow := partitioned.CountSince(from)
+	r.Compare("limits/worst_4s_in_a_cut_8_daemons_1_server", float64(maxInWindow), "requests", limitsPerSecond*limitsim.Window.Seconds())
 }
 
 // spreadDemand divides what is asked of the servers evenly among the daemons.
 func spreadDemand(s *limitsim.Sim, servers int) {
 	for _, d := range s.Daemons {
-		d.RequestRate = limitsAsked * limitsPerSecond * float64(servers) / float64(len(s.Daemons))
+		d.RequestRate = limitsDemandFactor * limitsPerSecond * float64(servers) / float64(len(s.Daemons))
 	}
 }
 
@@ -56,36 +56,36 @@
 	s := limitsim.New(1, daemons, servers, limitsPerSecond)
 	spreadDemand(s, servers)
 	s.Run(2 * limitsim.SettleTime)
-	from, bytes, began := s.Now, s.Bytes, ownCPU()
-	s.Run(limitsCounted)
-	perDaemon := float64(daemons) * limitsCounted.Seconds()
-	count, worst := s.CountSince(from)
-	r.Compare(name("worst_4s"), float64(worst), "requests", limitsPerSecond*limitsim.Window.Seconds())
-	r.Compare(name("used"), float64(count)/limitsCounted.Seconds(), "1/s", limitsPerSecond*float64(servers))
+	from, bytes, cpuBefore := s.Now, s.Bytes, processCPUSeconds()
+	s.Run(limitsMeasureTime)
+	perDaemon := float64(daemons) * limitsMeasureTime.Seconds()
+	count, maxInWindow := s.CountSince(from)
+	r.Compare(name("worst_4s"), float64(maxInWindow), "requests", limitsPerSecond*limitsim.Window.Seconds())
+	r.Compare(name("used"), float64(count)/limitsMeasureTime.Seconds(), "1/s", limitsPerSecond*float64(servers))
 	r.Figure(name("bytes"), float64(s.Bytes-bytes)/perDaemon, "B/s")
-	r.Figure(name("cpu"), 100*(ownCPU()-began)/perDaemon, "%")
-	r.Figure(name("settled_after_a_jump"), settled(s, servers).Seconds(), "s")
+	r.Figure(name("cpu"), 100*(processCPUSeconds()-cpuBefore)/perDaemon, "%")
+	r.Figure(name("settled_after_a_jump"), increaseSettleTime(s, servers).Seconds(), "s")
 }
 
 // settled lets the limit rise and returns how long it takes until it's used.
-func settled(s *limitsim.Sim, servers int) time.Duration {
-	const look = 500 * time.Millisecond
+func increaseSettleTime(s *limitsim.Sim, servers int) time.Duration {
+	const sampleTime = 500 * time.Millisecond
 	for _, d := range s.Daemons {
-		d.RequestRate *= limitsJump
+		d.RequestRate *= limitsIncreaseFactor
 	}
-	s.Limit = ratelimit.Limit{Present: true, PerSecond: limitsJump * limitsPerSecond}
-	for began := s.Now; ; {
+	s.Limit = ratelimit.Limit{Present: true, PerSecond: limitsIncreaseFactor * limitsPerSecond}
+	for start := s.Now; ; {
 		from := s.Now
-		s.Run(look)
+		s.Run(sampleTime)
 		count, _ := s.CountSince(from)
-		if float64(count) >= limitsUsed*limitsJump*limitsPerSecond*float64(servers)*look.Seconds() || s.Now.Sub(began) > limitsCounted {
-			return s.Now.Sub(began)
+		if float64(count) >= limitsUsedFraction*limitsIncreaseFactor*limitsPerSecond*float64(servers)*sampleTime.Seconds() || s.Now.Sub(start) > limitsMeasureTime {
+			return s.Now.Sub(start)
 		}
 	}
 }
 
 // ownCPU is the processor time that this process has used, in seconds.
-func ownCPU() float64 {
+func processCPUSeconds() float64 {
 	var usage syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &usage); err != nil {
 		return 0 // never for oneself
--- a/standins/bench/path.go
+++ b/standins/bench/path.go
@@ -56,10 +56,10 @@
 }
 
 // paced sends at a rate and returns the times in milliseconds.
-func (t *target) paced(rate int, length time.Duration) ([]float64, error) {
+func (t *target) openLoop(rate int, length time.Duration) ([]float64, error) {
 	var mu sync.Mutex
 	var times []float64
-	var failed error
+	var lastErr error
 	var group sync.WaitGroup
 	ticker := time.NewTicker(time.Second / time.Duration(rate))
 	defer ticker.Stop()
@@ -73,20 +73,20 @@
 			defer mu.Unlock()
 			times = append(times, took)
 			if err != nil {
-				failed = err
+				lastErr = err
 			}
 		})
 	}
 	group.Wait()
-	return times, failed
+	return times, lastErr
 }
 
 // closed keeps workers busy and returns the requests per second.
-func (t *target) closed(workers int, length time.Duration, body string) (float64, error) {
+func (t *target) closedLoop(workers int, length time.Duration, body string) (float64, error) {
 	var group sync.WaitGroup
 	var mu sync.Mutex
 	count := 0
-	var failed error
+	var lastErr error
 	start := time.Now()
 	for range workers {
 		group.Go(func() {
@@ -95,24 +95,24 @@
 				mu.Lock()
 				count++
 				if err != nil {
-					failed = err
+					lastErr = err
 				}
 				mu.Unlock()
 			}
 		})
 	}
 	group.Wait()
-	return float64(count) / time.Since(start).Seconds(), failed
+	return float64(count) / time.Since(start).Seconds(), lastErr
 }
 
 const (
-	pathLength  = 5 * time.Second
-	pathWorkers = 24
+	pathDuration = 5 * time.Second
+	pathWorkers  = 24
 )
 
 // Path measures what entry and agent add to a direct call.
 func (r *Reporter) Path(bin string) error {
-	return inLogs(func(dir string) error { return r.pathIn(bin, dir) })
+	return withLogDir(func(dir string) error { return r.pathIn(bin, dir) })
 }
 
 func (r *Reporter) pathIn(bin, dir string) error {
@@ -124,7 +124,7 @@
 		return err
 	}
 	defer cluster.KillAll()
-	if err := onOneProcessor(cluster.Start); err != nil {
+	if err := withOneProcessor(cluster.Start); err != nil {
 		return err
 	}
 	direct := newTarget("http://"+cluster.Servers[0].BackendAddress(), "")
@@ -136,7 +136,7 @@
 // onOneProcessor starts processes as they are on the users' entry VMs, which have one
 // core: with more, an idle Go scheduler looks for work on all of them, which took
 // a third of an entry's processor time here.
-func onOneProcessor(start func() error) error {
+func withOneProcessor(start func() error) error {
 	const variable = "GOMAXPROCS"
 	before := os.Getenv(variable)
 	if err := os.Setenv(variable, "1"); err != nil {
@@ -149,32 +149,32 @@
 }
 
 func (r *Reporter) measurePath(direct, through *target, entry, agent *harness.Process) error {
-	if _, err := through.closed(pathWorkers, time.Second, pathBody); err != nil {
+	if _, err := through.closedLoop(pathWorkers, time.Second, pathBody); err != nil {
 		return err
 	}
 	entryBefore, agentBefore := cpuSeconds(entry), cpuSeconds(agent)
-	most, err := through.closed(pathWorkers, pathLength, pathBody)
+	peak, err := through.closedLoop(pathWorkers, pathDuration, pathBody)
 	if err != nil {
 		return err
 	}
-	r.Figure("path/requests-per-second", most, "req/s")
-	r.Figure("path/requests-per-entry-core", most*pathLength.Seconds()/(cpuSeconds(entry)-entryBefore), "req/s")
-	r.Figure("path/requests-per-agent-core", most*pathLength.Seconds()/2/(cpuSeconds(agent)-agentBefore), "req/s")
-	for _, share := range []struct {
+	r.Figure("path/requests-per-second", peak, "req/s")
+	r.Figure("path/requests-per-entry-core", peak*pathDuration.Seconds()/(cpuSeconds(entry)-entryBefore), "req/s")
+	r.Figure("path/requests-per-agent-core", peak*pathDuration.Seconds()/2/(cpuSeconds(agent)-agentBefore), "req/s")
+	for _, fraction := range []struct {
 		name string
 		of   float64
 	}{{"tenth", 0.1}, {"half", 0.5}} {
-		rate := max(int(most*share.of), 1)
-		plain, err := direct.paced(rate, pathLength)
+		rate := max(int(peak*fraction.of), 1)
+		plain, err := direct.openLoop(rate, pathDuration)
 		if err != nil {
 			return err
 		}
-		times, err := through.paced(rate, pathLength)
+		times, err := through.openLoop(rate, pathDuration)
 		if err != nil {
 			return err
 		}
-		r.Compare("path/"+share.name+"/p50", Quantile(times, 0.5), "ms", Quantile(plain, 0.5))
-		r.Compare("path/"+share.name+"/p99", Quantile(times, 0.99), "ms", Quantile(plain, 0.99))
+		r.Compare("path/"+fraction.name+"/p50", Quantile(times, 0.5), "ms", Quantile(plain, 0.5))
+		r.Compare("path/"+fraction.name+"/p99", Quantile(times, 0.99), "ms", Quantile(plain, 0.99))
 	}
 	return r.measureStreams(through, entry)
 }
@@ -182,11 +182,11 @@
 func (r *Reporter) measureStreams(through *target, entry *harness.Process) error {
 	idle := rssMiB(entry)
 	before := cpuSeconds(entry)
-	streams, err := through.closed(pathWorkers, pathLength, streamBody())
+	streams, err := through.closedLoop(pathWorkers, pathDuration, streamBody())
 	if err != nil {
 		return err
 	}
-	r.Figure("path/streamed-tokens-per-entry-core", streams*streamTokens*pathLength.Seconds()/(cpuSeconds(entry)-before), "tokens/s")
+	r.Figure("path/streamed-tokens-per-entry-core", streams*streamTokens*pathDuration.Seconds()/(cpuSeconds(entry)-before), "tokens/s")
 	r.Figure("path/entry-memory-idle", idle, "MiB")
 	r.Figure("path/entry-memory-with-streams", rssMiB(entry), "MiB")
 	return r.measureMemory(through, entry)
@@ -210,20 +210,20 @@
 	group.Wait()
 	idle := rssMiB(entry)
 	r.Figure("path/entry-memory-per-idle-connection", (idle-before)*1024/heldConnections, "KiB")
-	ctx, leave := context.WithCancel(context.Background())
+	ctx, cancel := context.WithCancel(context.Background())
 	body := fmt.Sprintf(`{"model":"petal-7b","max_tokens":%d,"stream":true,"messages":[{"role":"user","content":"hello"}]}`, heldTokens)
 	for range heldConnections {
-		group.Go(func() { through.hold(ctx, body) })
+		group.Go(func() { through.holdStream(ctx, body) })
 	}
 	time.Sleep(heldTime)
 	r.Figure("path/entry-memory-per-active-request", (rssMiB(entry)-idle)*1024/heldConnections, "KiB")
-	leave()
+	cancel()
 	group.Wait()
 	return nil
 }
 
 // hold reads a stream until the context ends.
-func (t *target) hold(ctx context.Context, body string) {
+func (t *target) holdStream(ctx context.Context, body string) {
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, t.url+"/v1/chat/completions", bytes.NewBufferString(body))
 	if err != nil {
 		return
--- a/standins/bench/platformentry.go
+++ b/standins/bench/platformentry.go
@@ -21,16 +21,16 @@
 
 const (
 	// hostedWorkers callers keep the entry busy, each with one request at a time.
-	hostedWorkers = 16
+	platformWorkers = 16
 	// hostedEvents is how long a stream is.
-	hostedEvents = 200
-	hostedLength = 5 * time.Second
+	platformEvents   = 200
+	platformDuration = 5 * time.Second
 	// hostedStart bounds an entry's start.
-	hostedStart = 10 * time.Second
+	platformStartTimeout = 10 * time.Second
 )
 
 // hostedBench is an entry of the users' platform before one stand-in server.
-type hostedBench struct {
+type platformBench struct {
 	direct, through string
 	client          *http.Client
 	requests        atomic.Int64
@@ -40,22 +40,22 @@
 // and processor, this process's with and without the entry.
 func (r *Reporter) PlatformEntry() error {
 	store := standin.NewStore()
-	storeServer, backend := httptest.NewServer(store), httptest.NewServer(standin.BackendHandler(hostedEvents))
+	storeServer, backend := httptest.NewServer(store), httptest.NewServer(standin.BackendHandler(platformEvents))
 	defer storeServer.Close()
 	defer backend.Close()
 	address := backend.Listener.Addr().String()
 	store.Put(platform.TopicOperators, platform.Decoder{}.ConfigKey(), standin.BackendConfig)
 	store.Put(platform.TopicRegistrations, "i-1", fmt.Sprintf(`{"service":%q,"address":%q,"zone":"z","capacity":64,"state":"ready"}`, standin.BackendService, address))
-	settings, err := hostedSettings(storeServer.Listener.Addr().String())
+	settings, err := platformSettings(storeServer.Listener.Addr().String())
 	if err != nil {
 		return err
 	}
 	ctx, stop := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
 	go func() { ended <- platformdaemon.NewEntryDaemon(settings, nil, discardLog()).Run(ctx) }()
-	b := &hostedBench{
+	b := &platformBench{
 		direct: address, through: settings.Callers,
-		client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: hostedWorkers}},
+		client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: platformWorkers}},
 	}
 	err = b.measure(r, settings.Readiness)
 	stop()
@@ -72,7 +72,7 @@
 }
 
 // hostedSettings returns settings on free loopback ports.
-func hostedSettings(store string) (*platform.Settings, error) {
+func platformSettings(store string) (*platform.Settings, error) {
 	const ip, ports = "127.0.0.1", 6
 	var free [ports]string
 	for i := range free {
@@ -92,11 +92,11 @@
 	firstPort, err := strconv.Atoi(first)
 	return &platform.Settings{
 		Daemon: "bench", IP: ip, Zone: "z", Store: store, Callers: free[1], Readiness: free[2], Control: free[3],
-		FirstPort: firstPort, Grace: hostedLength, RetryRatio: 1, RetryExtra: 1, RetryWindow: time.Second,
+		FirstPort: firstPort, Grace: platformDuration, RetryRatio: 1, RetryExtra: 1, RetryWindow: time.Second,
 	}, errors.Wrap(err, "hosted bench")
 }
 
-func (b *hostedBench) measure(r *Reporter, ready string) error {
+func (b *platformBench) measure(r *Reporter, ready string) error {
 	if err := b.awaitReady(ready); err != nil {
 		return err
 	}
@@ -107,7 +107,7 @@
 		unit  string
 	}{
 		{"requests", standin.BackendPlainPath, 1, "request"},
-		{"streams", standin.BackendStreamPath, hostedEvents, "event"},
+		{"streams", standin.BackendStreamPath, platformEvents, "event"},
 	} {
 		if _, err := b.load(b.through, kind.path); err != nil { // warms both sides up
 			return err
@@ -120,7 +120,7 @@
 		if err != nil {
 			return err
 		}
-		perUnit := func(s sample) float64 { return s.processor / float64(s.requests*kind.units) * 1e6 }
+		perUnit := func(s sample) float64 { return s.cpu / float64(s.requests*kind.units) * 1e6 }
 		r.Compare("hosted/"+kind.name+"/processor-per-"+kind.unit, perUnit(through), "us", perUnit(direct))
 		r.Figure("hosted/"+kind.name+"/processor-added-per-"+kind.unit, perUnit(through)-perUnit(direct), "us")
 		r.Compare("hosted/"+kind.name+"/p50", Quantile(through.times, 0.5), "ms", Quantile(direct.times, 0.5))
@@ -129,8 +129,8 @@
 	return nil
 }
 
-func (b *hostedBench) awaitReady(address string) error {
-	for start := time.Now(); time.Since(start) < hostedStart; time.Sleep(10 * time.Millisecond) {
+func (b *platformBench) awaitReady(address string) error {
+	for start := time.Now(); time.Since(start) < platformStartTimeout; time.Sleep(10 * time.Millisecond) {
 		response, err := b.client.Get("http://" + address + "/ready")
 		if err != nil {
 			continue
@@ -147,43 +147,43 @@
 type sample struct {
 	requests int
 	// times are in milliseconds, processor in seconds of this process.
-	times     []float64
-	processor float64
+	times []float64
+	cpu   float64
 }
 
 // load keeps workers busy at an address.
-func (b *hostedBench) load(address, path string) (sample, error) {
+func (b *platformBench) load(address, path string) (sample, error) {
 	type result struct {
 		times []float64
 		err   error
 	}
-	results := make(chan result, hostedWorkers)
-	before, end := ownProcessor(), time.Now().Add(hostedLength)
-	for range hostedWorkers {
+	results := make(chan result, platformWorkers)
+	before, end := selfCPUSeconds(), time.Now().Add(platformDuration)
+	for range platformWorkers {
 		go func() {
-			var one result
-			for one.err == nil && time.Now().Before(end) {
+			var worker result
+			for worker.err == nil && time.Now().Before(end) {
 				start := time.Now()
-				one.err = b.ask(address, path)
-				one.times = append(one.times, time.Since(start).Seconds()*1000)
+				worker.err = b.get(address, path)
+				worker.times = append(worker.times, time.Since(start).Seconds()*1000)
 			}
-			results <- one
+			results <- worker
 		}()
 	}
 	var all sample
-	var failed error
-	for range hostedWorkers {
-		one := <-results
-		all.times = append(all.times, one.times...)
-		if one.err != nil {
-			failed = one.err
+	var lastErr error
+	for range platformWorkers {
+		worker := <-results
+		all.times = append(all.times, worker.times...)
+		if worker.err != nil {
+			lastErr = worker.err
 		}
 	}
-	all.requests, all.processor = len(all.times), ownProcessor()-before
-	return all, failed
+	all.requests, all.cpu = len(all.times), selfCPUSeconds()-before
+	return all, lastErr
 }
 
-func (b *hostedBench) ask(address, path string) error {
+func (b *platformBench) get(address, path string) error {
 	request, err := http.NewRequest(http.MethodGet, "http://"+address+path, nil)
 	if err != nil {
 		return errors.Wrap(err, "request")
@@ -205,7 +205,7 @@
 }
 
 // ownProcessor is the processor time that this process has used, in seconds.
-func ownProcessor() float64 {
+func selfCPUSeconds() float64 {
 	var usage syscall.Rusage
 	if syscall.Getrusage(syscall.RUSAGE_SELF, &usage) != nil {
 		return 0
--- a/standins/bench/rebalance.go
+++ b/standins/bench/rebalance.go
@@ -30,7 +30,7 @@
 // planPolicy returns the placement for the next interval and what it loaded.
 type planPolicy func(current *rebalance.Placement, estimate rebalance.Popularity, speeds []float64) (*rebalance.Placement, int)
 
-func never(current *rebalance.Placement, _ rebalance.Popularity, _ []float64) (*rebalance.Placement, int) {
+func neverMove(current *rebalance.Placement, _ rebalance.Popularity, _ []float64) (*rebalance.Placement, int) {
 	return current, 0
 }
 
@@ -39,7 +39,7 @@
 	return next, current.Distance(next)
 }
 
-func planned(planner *rebalance.Planner, options rebalance.Options) planPolicy {
+func planWith(planner *rebalance.Planner, options rebalance.Options) planPolicy {
 	return func(current *rebalance.Placement, estimate rebalance.Popularity, speeds []float64) (*rebalance.Placement, int) {
 		next := current.Clone()
 		moves := planner.Plan(current, estimate, speeds, options)
@@ -52,13 +52,13 @@
 const warmUp = 12
 
 // partsPerInterval is how many times skew is measured in a planning interval.
-const partsPerInterval = 10
+const samplesPerInterval = 10
 
 const (
 	// planFrom is the skew from which on a plan is made, and goodEnough where it ends:
 	// the holder's on busy days.
-	planFrom   = 1.2
-	goodEnough = 1.12
+	planThreshold = 1.2
+	targetRatio   = 1.12
 	// straggler is the rank that is slow for a while.
 	straggler = 3
 )
@@ -88,13 +88,13 @@
 
 // interval measures the skew in parts, and plans in each part whose skew asks for it.
 func (s *simulation) interval(n int, truth, measured rebalance.Popularity, speeds []float64) {
-	for range partsPerInterval {
+	for range samplesPerInterval {
 		skew := s.placement.Skew(truth, speeds)
 		if n >= warmUp {
 			s.run.skews = append(s.run.skews, skew)
 		}
 		s.observe(measured)
-		if skew < planFrom {
+		if skew < planThreshold {
 			continue
 		}
 		var loads int
@@ -143,9 +143,9 @@
 	}
 	r.rebalanceAt("rebalance/16x64x8", small)
 	r.rebalanceAt("rebalance/256x256x60", large)
-	r.curve("rebalance/curve16", small)
-	r.planningTime(large)
-	r.afterJumps()
+	r.measureCostCurve("rebalance/curve16", small)
+	r.measurePlanningTime(large)
+	r.measureDemandJumps()
 }
 
 // copyTime and switchTime are those of engines that copy slowly.
@@ -157,7 +157,7 @@
 // afterJumps measures, for groups of several sizes whose engines copy slowly, how long a
 // plan takes after demand has jumped, and what skew it leaves, against one that brings
 // everything at once and takes as long as the rank that copies most.
-func (r *Reporter) afterJumps() {
+func (r *Reporter) measureDemandJumps() {
 	for _, shape := range []rebalance.Shape{
 		{Ranks: 12, Experts: 96, Layers: 3, Slots: 11},
 		{Ranks: 24, Experts: 96, Layers: 16, Slots: 5},
@@ -170,20 +170,20 @@
 		if err != nil {
 			panic(err) // the shapes are ours
 		}
-		options := rebalance.Options{SkewWeight: 1, CostWeight: 1, MaxMoves: 1 << 20, MaxNewPerRank: 4, TargetRatio: goodEnough}
-		whole, _ := planAfter(placement, popularity, options)
+		options := rebalance.Options{SkewWeight: 1, CostWeight: 1, MaxMoves: 1 << 20, MaxNewPerRank: 4, TargetRatio: targetRatio}
+		unstaged, _ := timedPlan(placement, popularity, options)
 		options.Timing = rebalance.Timing{Copy: copyTime, Switch: switchTime}
-		first, took := planAfter(placement, popularity, options)
+		first, took := timedPlan(placement, popularity, options)
 		speeds := speedsAt(popularitytrace.Options{Shape: shape}, -1, 0)
 		r.Figure(name+"/plan", took.Seconds()*1000, "ms")
 		r.Figure(name+"/skew-before", placement.Skew(popularity, speeds), "x")
-		r.Compare(name+"/skew-after", first.Skew(popularity, speeds), "x", whole.Skew(popularity, speeds))
-		r.Compare(name+"/copies-of-the-busiest", float64(placement.MaxLoads(first)), "experts", float64(placement.MaxLoads(whole)))
+		r.Compare(name+"/skew-after", first.Skew(popularity, speeds), "x", unstaged.Skew(popularity, speeds))
+		r.Compare(name+"/copies-of-the-busiest", float64(placement.MaxLoads(first)), "experts", float64(placement.MaxLoads(unstaged)))
 	}
 }
 
 // planAfter returns what a new planner makes of a placement, and how long it took.
-func planAfter(placement *rebalance.Placement, popularity rebalance.Popularity, options rebalance.Options) (*rebalance.Placement, time.Duration) {
+func timedPlan(placement *rebalance.Placement, popularity rebalance.Popularity, options rebalance.Options) (*rebalance.Placement, time.Duration) {
 	planner, next := rebalance.NewPlanner(placement.Shape), placement.Clone()
 	speeds := speedsAt(popularitytrace.Options{Shape: placement.Shape}, -1, 0)
 	start := time.Now()
@@ -194,33 +194,33 @@
 }
 
 func (r *Reporter) rebalanceAt(name string, o popularitytrace.Options) {
-	still := runPolicy(o, never)
-	full := runPolicy(o, repack)
-	r.Figure(name+"/never/skew-p99", Quantile(still.skews, 0.99), "x")
-	r.Figure(name+"/repack/skew-p99", Quantile(full.skews, 0.99), "x")
-	r.Figure(name+"/repack/loads", float64(full.loads), "experts")
+	unmoved := runPolicy(o, neverMove)
+	repacked := runPolicy(o, repack)
+	r.Figure(name+"/never/skew-p99", Quantile(unmoved.skews, 0.99), "x")
+	r.Figure(name+"/repack/skew-p99", Quantile(repacked.skews, 0.99), "x")
+	r.Figure(name+"/repack/loads", float64(repacked.loads), "experts")
 	planner := rebalance.NewPlanner(o.Shape)
-	for _, d := range weightings {
-		options := rebalance.Options{SkewWeight: d.skew, CostWeight: d.costWeight, MaxMoves: 1 << 20, TargetRatio: goodEnough}
-		run := runPolicy(o, planned(planner, options))
-		r.Compare(name+"/"+d.name+"/skew-p50", Quantile(run.skews, 0.5), "x", Quantile(full.skews, 0.5))
-		r.Compare(name+"/"+d.name+"/skew-p99", Quantile(run.skews, 0.99), "x", Quantile(full.skews, 0.99))
-		r.Compare(name+"/"+d.name+"/loads", float64(run.loads), "experts", float64(full.loads))
+	for _, w := range weightings {
+		options := rebalance.Options{SkewWeight: w.skew, CostWeight: w.costWeight, MaxMoves: 1 << 20, TargetRatio: targetRatio}
+		run := runPolicy(o, planWith(planner, options))
+		r.Compare(name+"/"+w.name+"/skew-p50", Quantile(run.skews, 0.5), "x", Quantile(repacked.skews, 0.5))
+		r.Compare(name+"/"+w.name+"/skew-p99", Quantile(run.skews, 0.99), "x", Quantile(repacked.skews, 0.99))
+		r.Compare(name+"/"+w.name+"/loads", float64(run.loads), "experts", float64(repacked.loads))
 	}
 }
 
 // curve prints skew against loads over the price of a move.
-func (r *Reporter) curve(name string, o popularitytrace.Options) {
+func (r *Reporter) measureCostCurve(name string, o popularitytrace.Options) {
 	planner := rebalance.NewPlanner(o.Shape)
-	for _, price := range []float64{0.03, 0.06, 0.12, 0.25, 0.5, 1, 2, 4} {
-		run := runPolicy(o, planned(planner, rebalance.Options{SkewWeight: 1, CostWeight: price, MaxMoves: 1 << 20, TargetRatio: goodEnough}))
-		r.Figure(fmt.Sprintf("%s/price-%g/loads", name, price), float64(run.loads), "experts")
-		r.Figure(fmt.Sprintf("%s/price-%g/skew-p99", name, price), Quantile(run.skews, 0.99), "x")
+	for _, costWeight := range []float64{0.03, 0.06, 0.12, 0.25, 0.5, 1, 2, 4} {
+		run := runPolicy(o, planWith(planner, rebalance.Options{SkewWeight: 1, CostWeight: costWeight, MaxMoves: 1 << 20, TargetRatio: targetRatio}))
+		r.Figure(fmt.Sprintf("%s/price-%g/loads", name, costWeight), float64(run.loads), "experts")
+		r.Figure(fmt.Sprintf("%s/price-%g/skew-p99", name, costWeight), Quantile(run.skews, 0.99), "x")
 	}
 }
 
 // planningTime measures one plan in steady state and one from nothing.
-func (r *Reporter) planningTime(o popularitytrace.Options) {
+func (r *Reporter) measurePlanningTime(o popularitytrace.Options) {
 	t := popularitytrace.New(o)
 	placement, err := rebalance.NewPlacement(o.Shape)
 	if err != nil {
@@ -231,7 +231,7 @@
 	runtime.GC()
 	runtime.ReadMemStats(&before)
 	planner := rebalance.NewPlanner(o.Shape)
-	options := rebalance.Options{SkewWeight: 1, CostWeight: weightings[0].costWeight, MaxMoves: 1 << 20, TargetRatio: goodEnough}
+	options := rebalance.Options{SkewWeight: 1, CostWeight: weightings[0].costWeight, MaxMoves: 1 << 20, TargetRatio: targetRatio}
 	var steady []float64
 	for interval := range 20 {
 		truth, _ := t.Next()
--- a/standins/bench/recovery.go
+++ b/standins/bench/recovery.go
@@ -23,9 +23,9 @@
 	// recoveryPort is the first port of each entry, on a loopback address of its own.
 	recoveryPort = 31000
 	// recoveryAway is how long the store is away before it comes back.
-	recoveryAway = 1500 * time.Millisecond
+	recoveryOutage = 1500 * time.Millisecond
 	// recoveryPatience bounds the wait for a version at all entries.
-	recoveryPatience = 30 * time.Second
+	recoveryTimeout = 30 * time.Second
 	// recoveryRounds is how often the store comes back.
 	recoveryRounds = 3
 )
@@ -38,7 +38,7 @@
 
 	mu sync.Mutex
 	// seen is when each entry put a version in force.
-	seen map[int64][]time.Time
+	appliedAt map[int64][]time.Time
 }
 
 // Recovery measures how long after the store's return from an older copy the newest
@@ -53,19 +53,19 @@
 }
 
 func (r *Reporter) recover(entries int) error {
-	f := &recovery{store: standin.NewStore(), seen: map[int64][]time.Time{}}
+	f := &recovery{store: standin.NewStore(), appliedAt: map[int64][]time.Time{}}
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
 		f.calls.Add(1)
 		f.store.ServeHTTP(w, q)
 	}))
 	defer server.CloseClientConnections()
-	f.configure()
+	f.writeConfig()
 	ctx, stop := context.WithCancel(context.Background())
 	var running sync.WaitGroup
 	defer running.Wait()
 	defer stop()
 	for i := range entries {
-		daemon := platformdaemon.NewEntryDaemon(recoverySettings(i, server.Listener.Addr().String()), nil, f.log())
+		daemon := platformdaemon.NewEntryDaemon(recoverySettings(i, server.Listener.Addr().String()), nil, f.newLog())
 		running.Go(func() { _ = daemon.Run(ctx) }) // an entry that ends is missed below
 	}
 	var times []float64
@@ -88,47 +88,47 @@
 // round takes the store away and back from an older copy, and changes the configuration
 // at once. It returns how many milliseconds later the change was in force at each entry.
 func (f *recovery) round(entries int) ([]float64, error) {
-	if err := f.await(entries); err != nil {
+	if err := f.awaitApplied(entries); err != nil {
 		return nil, err
 	}
 	f.store.TakeBackup()
-	f.configure()
-	f.configure()
-	if err := f.await(entries); err != nil {
+	f.writeConfig()
+	f.writeConfig()
+	if err := f.awaitApplied(entries); err != nil {
 		return nil, err
 	}
 	f.store.SetFaults(standin.Faults{Down: true})
-	time.Sleep(recoveryAway)
+	time.Sleep(recoveryOutage)
 	f.store.RestoreBackup()
 	f.store.SetFaults(standin.Faults{})
-	back := time.Now()
+	restoredAt := time.Now()
 	f.calls.Store(0)
-	f.configure()
-	if err := f.await(entries); err != nil {
+	f.writeConfig()
+	if err := f.awaitApplied(entries); err != nil {
 		return nil, err
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	var took []float64
-	for _, at := range f.seen[f.version] {
-		took = append(took, at.Sub(back).Seconds()*1000)
+	for _, at := range f.appliedAt[f.version] {
+		took = append(took, at.Sub(restoredAt).Seconds()*1000)
 	}
 	return took, nil
 }
 
 // configure writes the next version of the configuration.
-func (f *recovery) configure() {
+func (f *recovery) writeConfig() {
 	f.version++
 	f.store.Put(platform.TopicOperators, platform.Decoder{}.ConfigKey(), fmt.Sprintf(`{"version":%d}`, f.version))
 }
 
 // await waits until all entries have the newest version in force.
-func (f *recovery) await(entries int) error {
-	for end := time.Now().Add(recoveryPatience); time.Now().Before(end); time.Sleep(time.Millisecond) {
+func (f *recovery) awaitApplied(entries int) error {
+	for end := time.Now().Add(recoveryTimeout); time.Now().Before(end); time.Sleep(time.Millisecond) {
 		f.mu.Lock()
-		seen := len(f.seen[f.version])
+		applied := len(f.appliedAt[f.version])
 		f.mu.Unlock()
-		if seen == entries {
+		if applied == entries {
 			return nil
 		}
 	}
@@ -136,7 +136,7 @@
 }
 
 // log returns the log of an entry, which tells what it puts in force.
-func (f *recovery) log() *logrus.Entry {
+func (f *recovery) newLog() *logrus.Entry {
 	log := discardLog()
 	log.Logger.AddHook(f)
 	return log
@@ -153,7 +153,7 @@
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.seen[version] = append(f.seen[version], line.Time)
+	f.appliedAt[version] = append(f.appliedAt[version], line.Time)
 	return nil
 }
 
--- a/standins/bench/routing.go
+++ b/standins/bench/routing.go
@@ -12,10 +12,10 @@
 	"github.com/crowbridge/crowbridge/internal/selector"
 )
 
-var benchStart = time.Date(2026, 6, 1, 10, 0, 0, 0, time.UTC)
+var simStart = time.Date(2026, 6, 1, 10, 0, 0, 0, time.UTC)
 
 // fleetOf returns n servers over zones, in the order that routes keep.
-func fleetOf(n, zones int) []*selector.Server {
+func newServers(n, zones int) []*selector.Server {
 	servers := make([]*selector.Server, 0, n)
 	for i := range n {
 		servers = append(servers, &selector.Server{
@@ -26,7 +26,7 @@
 	return servers
 }
 
-func tableOf(servers []*selector.Server) *routing.Table {
+func newTable(servers []*selector.Server) *routing.Table {
 	table := routing.NewTable("zone-0")
 	byName := map[string]*selector.Server{}
 	for _, s := range servers {
@@ -34,7 +34,7 @@
 	}
 	table.Sync(byName)
 	for _, s := range servers {
-		table.UpdateLoad(benchStart, s.Name, "1", headers.LoadReport{Limit: 8, ServiceTime: 10 * time.Millisecond})
+		table.UpdateLoad(simStart, s.Name, "1", headers.LoadReport{Limit: 8, ServiceTime: 10 * time.Millisecond})
 	}
 	return table
 }
@@ -43,14 +43,14 @@
 func (r *Reporter) Routing() {
 	base := 0.0
 	for _, n := range []int{24, 240, 2400} {
-		servers := fleetOf(n, 3)
-		table := tableOf(servers)
+		servers := newServers(n, 3)
+		table := newTable(servers)
 		picker := routing.NewPicker(table)
 		random := rand.New(rand.NewPCG(1, 2))
 		result := testing.Benchmark(func(b *testing.B) {
 			b.ReportAllocs()
 			for i := range b.N {
-				name := picker.Pick(benchStart, random, routing.Query{Candidates: servers, Prefix: uint64(i%100 + 1)})
+				name := picker.Pick(simStart, random, routing.Query{Candidates: servers, Prefix: uint64(i%100 + 1)})
 				table.RequestSent(name)
 				table.RequestEnded(name)
 			}
@@ -69,15 +69,15 @@
 // whose load reports are stale: each server runs slots requests at once, first
 // in, first out.
 type policySim struct {
-	servers []simServer
-	random  *rand.Rand
-	tables  []*routing.Table
-	pickers []*routing.Picker
-	fleet   []*selector.Server
-	now     time.Time
-	waits   []float64
-	hits    int
-	next    int
+	servers   []simServer
+	random    *rand.Rand
+	tables    []*routing.Table
+	pickers   []*routing.Picker
+	fleet     []*selector.Server
+	now       time.Time
+	latencies []float64
+	hits      int
+	next      int
 }
 
 type simServer struct {
@@ -100,7 +100,7 @@
 )
 
 func newPolicySim(seed uint64) *policySim {
-	s := &policySim{random: rand.New(rand.NewPCG(seed, 3)), now: benchStart, fleet: fleetOf(simServers, 1)}
+	s := &policySim{random: rand.New(rand.NewPCG(seed, 3)), now: simStart, fleet: newServers(simServers, 1)}
 	for i := range simServers {
 		factor := 1.0
 		if i == 0 {
@@ -109,7 +109,7 @@
 		s.servers = append(s.servers, simServer{factor: factor})
 	}
 	for range simEntries {
-		table := tableOf(s.fleet)
+		table := newTable(s.fleet)
 		s.tables = append(s.tables, table)
 		s.pickers = append(s.pickers, routing.NewPicker(table))
 	}
@@ -117,7 +117,7 @@
 }
 
 // busy is the number of requests at a server now.
-func (s *policySim) busy(server int) int {
+func (s *policySim) inProgress(server int) int {
 	ends := s.servers[server].ends
 	for len(ends) > 0 && !ends[0].After(s.now) {
 		ends = ends[1:]
@@ -127,7 +127,7 @@
 }
 
 // run sends requests; choose names the server.
-func (s *policySim) run(choose func(entry int, prefix uint64) int, own bool) {
+func (s *policySim) run(choose func(entry int, prefix uint64) int, countInFlight bool) {
 	mean := float64(simService+simMissCost/2) / simUtilization / (simServers * simSlots)
 	reported := s.now
 	for range simRequests {
@@ -139,16 +139,16 @@
 		prefix := uint64(s.random.IntN(simPrefixes)*s.random.IntN(simPrefixes)/simPrefixes + 1)
 		entry := s.random.IntN(simEntries)
 		server := choose(entry, prefix)
-		if own {
+		if countInFlight {
 			s.tables[entry].RequestSent(s.fleet[server].Name)
 		}
-		s.serve(entry, server, prefix, own)
+		s.serve(entry, server, prefix, countInFlight)
 	}
 }
 
 func (s *policySim) report() {
 	for i, server := range s.fleet {
-		busy := s.busy(i)
+		busy := s.inProgress(i)
 		took := time.Duration(float64(simService) * s.servers[i].factor)
 		for _, table := range s.tables {
 			table.UpdateLoad(s.now, server.Name, "1", headers.LoadReport{
@@ -160,7 +160,7 @@
 
 func (s *policySim) serve(_, server int, prefix uint64, _ bool) {
 	state := &s.servers[server]
-	busy := s.busy(server)
+	busy := s.inProgress(server)
 	start := s.now
 	if busy >= simSlots {
 		start = state.ends[busy-simSlots]
@@ -177,7 +177,7 @@
 		at--
 	}
 	state.ends = append(state.ends[:at], append([]time.Time{end}, state.ends[at:]...)...)
-	s.waits = append(s.waits, end.Sub(s.now).Seconds()*1000)
+	s.latencies = append(s.latencies, end.Sub(s.now).Seconds()*1000)
 }
 
 func (c *simServer) hit(prefix uint64) bool {
@@ -195,7 +195,7 @@
 }
 
 // load is what a stale report says of a server.
-func (s *policySim) load(entry, server int) int {
+func (s *policySim) reportedLoad(entry, server int) int {
 	row := s.tables[entry].Row(s.fleet[server].Name)
 	return row.Reported.InFlight + row.Reported.Queued
 }
@@ -214,13 +214,13 @@
 		}},
 		{"least-loaded-stale", false, leastLoaded},
 		{"power-of-two-stale", false, powerOfTwo},
-		{"ours", true, ours},
+		{"ours", true, crowbridgePolicy},
 	}
 	base := 0.0
 	for _, p := range policies {
 		s := newPolicySim(5)
 		s.run(p.choose(s), p.own)
-		p99 := Quantile(s.waits, 0.99)
+		p99 := Quantile(s.latencies, 0.99)
 		if base == 0 {
 			base = p99
 		}
@@ -233,7 +233,7 @@
 	return func(entry int, _ uint64) int {
 		best := 0
 		for i := range simServers {
-			if s.load(entry, i) < s.load(entry, best) {
+			if s.reportedLoad(entry, i) < s.reportedLoad(entry, best) {
 				best = i
 			}
 		}
@@ -244,14 +244,14 @@
 func powerOfTwo(s *policySim) func(int, uint64) int {
 	return func(entry int, _ uint64) int {
 		a, b := s.random.IntN(simServers), s.random.IntN(simServers)
-		if s.load(entry, a) <= s.load(entry, b) {
+		if s.reportedLoad(entry, a) <= s.reportedLoad(entry, b) {
 			return a
 		}
 		return b
 	}
 }
 
-func ours(s *policySim) func(int, uint64) int {
+func crowbridgePolicy(s *policySim) func(int, uint64) int {
 	index := map[string]int{}
 	for i, server := range s.fleet {
 		index[server.Name] = i
--- a/standins/cmd/bench/main.go
+++ b/standins/cmd/bench/main.go
@@ -41,7 +41,7 @@
 	}
 	failed := 0
 	for _, area := range areas {
-		if !wanted(area.name, args[1:]) {
+		if !selected(area.name, args[1:]) {
 			continue
 		}
 		if err := area.run(); err != nil { // the others go on
@@ -55,7 +55,7 @@
 	return nil
 }
 
-func wanted(name string, areas []string) bool {
+func selected(name string, areas []string) bool {
 	if len(areas) == 0 {
 		return true
 	}
--- a/standins/cmd/days/main.go
+++ b/standins/cmd/days/main.go
@@ -33,24 +33,24 @@
 }
 
 func run(_ context.Context, c *cli.Command) error {
-	var sets []runreport.Series
+	var series []runreport.Series
 	for _, flag := range c.StringSlice("set") {
-		set, err := readSet(flag)
+		s, err := readSeries(flag)
 		if err != nil {
 			return err
 		}
-		sets = append(sets, set)
+		series = append(series, s)
 	}
-	if err := runreport.WriteTable(os.Stdout, sets); err != nil {
+	if err := runreport.WriteTable(os.Stdout, series); err != nil {
 		return err
 	}
 	if path := c.String("plot"); path != "" {
-		return runreport.WritePlot(path, c.String("title"), sets)
+		return runreport.WritePlot(path, c.String("title"), series)
 	}
 	return nil
 }
 
-func readSet(flag string) (runreport.Series, error) {
+func readSeries(flag string) (runreport.Series, error) {
 	name, pattern, found := strings.Cut(flag, "=")
 	if !found {
 		return runreport.Series{}, errors.Errorf("--set %s: use NAME=PATTERN", flag)
@@ -59,13 +59,13 @@
 	if err != nil || len(paths) == 0 {
 		return runreport.Series{}, errors.Errorf("--set %s: no file has this pattern", flag)
 	}
-	set := runreport.Series{Name: name}
+	series := runreport.Series{Name: name}
 	for _, path := range paths {
 		report, err := runreport.ReadFile(path)
 		if err != nil {
-			return set, err
+			return series, err
 		}
-		set.Reports = append(set.Reports, report)
+		series.Reports = append(series.Reports, report)
 	}
-	return set, nil
+	return series, nil
 }
--- a/standins/cmd/demo/main.go
+++ b/standins/cmd/demo/main.go
@@ -41,7 +41,7 @@
 		return err
 	}
 	fmt.Println("started: 2 availability zones, 4 entries, 6 backend servers with agents")
-	return drive(cluster)
+	return runLoad(cluster)
 }
 
 type step struct {
@@ -50,9 +50,9 @@
 	do    func() error
 }
 
-func drive(cluster *harness.Cluster) error {
+func runLoad(cluster *harness.Cluster) error {
 	done := make(chan error, 1)
-	go func() { done <- faults(cluster) }()
+	go func() { done <- injectFaults(cluster) }()
 	report, err := loadgen.Run(context.Background(), loadgen.Options{
 		Entries: cluster.CallerAddresses(), Keys: cluster.Keys, Rate: 80, Duration: 14 * time.Second, Tokens: 10,
 		PlainPercent: 40, StreamPercent: 30, UnkeyedPercent: 20, RunsURL: cluster.PlatformURL, DeadlineMs: 10000, MaxRetries: 20,
@@ -77,7 +77,7 @@
 	return nil
 }
 
-func faults(cluster *harness.Cluster) error {
+func injectFaults(cluster *harness.Cluster) error {
 	steps := []step{
 		{2 * time.Second, "kill the agent of one engine", cluster.Processes["agent-engine-budaors-1"].Kill},
 		{time.Second, "cut the log", func() error { return cluster.InjectFault("/fault/log", `{"down":true}`) }},
--- a/standins/cmd/standin/main.go
+++ b/standins/cmd/standin/main.go
@@ -126,14 +126,14 @@
 			return serve(cmd, plainserver.Handler(plainserver.Options{
 				Name: cmd.String("name"), WorkTime: cmd.Duration("step"),
 				Recorder: &engine.Recorder{URL: cmd.String("recorder")},
-				Exit:     func() { os.Exit(exitEnded) },
+				Exit:     func() { os.Exit(exitCrashed) },
 			}))
 		},
 	}
 }
 
 // exitEnded is the exit code of a server that a call has ended.
-const exitEnded = 3
+const exitCrashed = 3
 
 func serve(cmd *cli.Command, handler http.Handler) error {
 	return serveAt(cmd.String("listen"), handler)
--- a/standins/engine/engine.go
+++ b/standins/engine/engine.go
@@ -31,9 +31,9 @@
 
 // Engine is the stand-in.
 type Engine struct {
-	options Options
-	active  atomic.Int64
-	stopped atomic.Int64 // streams ended by their reader
+	options   Options
+	active    atomic.Int64
+	cancelled atomic.Int64 // streams ended by their reader
 }
 
 // New returns an engine.
@@ -52,15 +52,15 @@
 // Handler returns the engine's API.
 func (e *Engine) Handler() http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc("POST /v1/chat/completions", e.complete)
-	mux.HandleFunc("POST /v1/completions", e.complete)
+	mux.HandleFunc("POST /v1/chat/completions", e.serveCompletion)
+	mux.HandleFunc("POST /v1/completions", e.serveCompletion)
 	mux.HandleFunc("GET /stats", func(w http.ResponseWriter, _ *http.Request) {
-		_, _ = fmt.Fprintf(w, "active %d stopped %d\n", e.active.Load(), e.stopped.Load())
+		_, _ = fmt.Fprintf(w, "active %d stopped %d\n", e.active.Load(), e.cancelled.Load())
 	})
 	return mux
 }
 
-func (e *Engine) complete(w http.ResponseWriter, r *http.Request) {
+func (e *Engine) serveCompletion(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
@@ -79,11 +79,11 @@
 	e.active.Add(1)
 	defer e.active.Add(-1)
 	if request.Stream {
-		e.stream(w, r, request, operation)
+		e.serveStream(w, r, request, operation)
 		return
 	}
 	for range request.MaxTokens {
-		if !e.step(r) {
+		if !e.awaitStep(r) {
 			return
 		}
 	}
@@ -93,7 +93,7 @@
 }
 
 // step waits for one step of the batch; false means that the reader left.
-func (e *Engine) step(r *http.Request) bool {
+func (e *Engine) awaitStep(r *http.Request) bool {
 	load := max(float64(e.active.Load())/float64(e.options.BatchSize), 1)
 	timer := time.NewTimer(time.Duration(float64(e.options.StepTime) * load))
 	defer timer.Stop()
@@ -101,14 +101,14 @@
 	case <-timer.C:
 		return true
 	case <-r.Context().Done():
-		e.stopped.Add(1)
+		e.cancelled.Add(1)
 		return false
 	}
 }
 
 // stream sends one event a token, its offset as the event's ID, and resumes
 // after Last-Event-ID.
-func (e *Engine) stream(w http.ResponseWriter, r *http.Request, request completionRequest, operation string) {
+func (e *Engine) serveStream(w http.ResponseWriter, r *http.Request, request completionRequest, operation string) {
 	w.Header().Set("Content-Type", "text/event-stream")
 	controller := http.NewResponseController(w)
 	after, err := strconv.Atoi(r.Header.Get("Last-Event-ID"))
@@ -116,12 +116,12 @@
 		after = 0
 	}
 	for token := after + 1; token <= request.MaxTokens; token++ {
-		if !e.step(r) {
+		if !e.awaitStep(r) {
 			return
 		}
 		_, err := fmt.Fprintf(w, "id: %d\ndata: {\"choices\":[{\"delta\":{\"content\":\"%s/%d \"}}]}\n\n", token, operation, token)
 		if err != nil || controller.Flush() != nil {
-			e.stopped.Add(1)
+			e.cancelled.Add(1)
 			return
 		}
 	}
@@ -130,11 +130,11 @@
 
 // operationMark starts the operation's name in a body; the load tool puts one
 // into each request, so that executions can be counted and answers matched.
-const operationMark = "operation="
+const operationPrefix = "operation="
 
 // Operation returns the operation named in a body, or "unnamed".
 func OperationName(body []byte) string {
-	_, rest, found := strings.Cut(string(body), operationMark)
+	_, rest, found := strings.Cut(string(body), operationPrefix)
 	if !found {
 		return "unnamed"
 	}
@@ -153,9 +153,9 @@
 	// URL of the platform stand-in's control port; empty counts nothing.
 	URL string
 
-	client http.Client
-	mu     sync.Mutex
-	failed int
+	client   http.Client
+	mu       sync.Mutex
+	failures int
 }
 
 // Record counts one execution.
@@ -166,7 +166,7 @@
 	if err := c.post(operation); err != nil {
 		c.mu.Lock()
 		defer c.mu.Unlock()
-		c.failed++
+		c.failures++
 	}
 }
 
--- a/standins/engine/group.go
+++ b/standins/engine/group.go
@@ -24,17 +24,17 @@
 type Group struct {
 	options GroupOptions
 
-	mu     sync.Mutex
-	epoch  int64
-	pass   int64
-	broken bool
-	ranks  []*groupRank
-	seen   GroupState
-	begun  time.Time
+	mu            sync.Mutex
+	epoch         int64
+	pass          int64
+	broken        bool
+	ranks         []*groupRank
+	state         GroupState
+	lastPassStart time.Time
 	// ordered counts orders; each lateEach-th has no answer and is carried out after lateBy.
-	ordered  int
-	lateEach int
-	lateBy   time.Duration
+	commandCount int
+	lateEvery    int
+	lateDelay    time.Duration
 }
 
 // GroupState is what the ranks did so far.
@@ -51,26 +51,26 @@
 
 // groupRank is one engine. A restart forgets everything.
 type groupRank struct {
-	version, prepared, highest int64
-	armed, armedPass           int64
-	held, fence, sequence      int64
-	lists                      map[int64][][][]int
-	counts                     []int64
-	down                       bool
+	version, prepared, highestPrepared int64
+	armed, armedPass                   int64
+	heldPass, fence, sequence          int64
+	maps                               map[int64][][][]int
+	counts                             []int64
+	down                               bool
 }
 
 // NewGroup returns a group in its first epoch.
 func NewGroup(o GroupOptions) *Group {
-	g := &Group{options: o, seen: GroupState{Maps: map[MapID]int{}}}
+	g := &Group{options: o, state: GroupState{Maps: map[MapID]int{}}}
 	for range o.Ranks {
 		g.ranks = append(g.ranks, &groupRank{})
 	}
-	g.form()
+	g.startEpoch()
 	return g
 }
 
 // form begins a new epoch with the default map, experts in turn, at every rank.
-func (g *Group) form() {
+func (g *Group) startEpoch() {
 	g.epoch++
 	g.broken = false
 	initial := make([][][]int, g.options.Layers)
@@ -83,7 +83,7 @@
 	}
 	for _, r := range g.ranks {
 		fence := r.fence
-		*r = groupRank{lists: map[int64][][][]int{0: initial}, counts: make([]int64, g.options.Layers*g.options.Experts), fence: fence}
+		*r = groupRank{maps: map[int64][][][]int{0: initial}, counts: make([]int64, g.options.Layers*g.options.Experts), fence: fence}
 	}
 }
 
@@ -109,7 +109,7 @@
 		return
 	}
 	for _, r := range g.ranks {
-		if r.held == g.pass+1 {
+		if r.heldPass == g.pass+1 {
 			return
 		}
 	}
@@ -118,62 +118,62 @@
 		if r.armed != 0 && r.armedPass == g.pass {
 			r.version, r.armed = r.armed, 0
 		}
-		g.count(r)
+		g.countChoices(r)
 	}
-	g.note()
+	g.recordPass()
 }
 
 const (
 	// shiftPasses is for how many passes the same experts are liked most.
-	shiftPasses = 400
+	rotationPasses = 400
 	// choices is how often the most liked expert is chosen in a pass, and
 	// choicesSlope how fast the others follow.
-	choices      = 1000
-	choicesSlope = -1.2
+	maxChoices      = 1000
+	choicesExponent = -1.2
 )
 
-func (g *Group) count(r *groupRank) {
+func (g *Group) countChoices(r *groupRank) {
 	experts := g.options.Experts
 	for i := range r.counts {
-		place := (i%experts + int(g.pass/shiftPasses)*3) % experts
-		r.counts[i] += int64(choices * math.Pow(float64(place+1), choicesSlope))
+		position := (i%experts + int(g.pass/rotationPasses)*3) % experts
+		r.counts[i] += int64(maxChoices * math.Pow(float64(position+1), choicesExponent))
 	}
 }
 
 // keptGaps bounds the gaps that are remembered.
-const keptGaps = 4096
+const maxPassIntervals = 4096
 
 // note looks at the maps with which a pass has begun.
-func (g *Group) note() {
-	g.seen.Epoch = g.epoch
-	g.seen.Passes++
+func (g *Group) recordPass() {
+	g.state.Epoch = g.epoch
+	g.state.Passes++
 	for _, r := range g.ranks {
 		if r.version != g.ranks[0].version {
-			g.seen.MixedPasses++
+			g.state.MixedPasses++
 			break
 		}
 	}
-	g.seen.Maps[MapID{Epoch: g.epoch, Version: g.ranks[0].version}]++
+	g.state.Maps[MapID{Epoch: g.epoch, Version: g.ranks[0].version}]++
 	now := time.Now()
-	if !g.begun.IsZero() {
-		g.seen.PassIntervalsUs = append(g.seen.PassIntervalsUs, now.Sub(g.begun).Microseconds())
+	if !g.lastPassStart.IsZero() {
+		g.state.PassIntervalsUs = append(g.state.PassIntervalsUs, now.Sub(g.lastPassStart).Microseconds())
 	}
-	if len(g.seen.PassIntervalsUs) > keptGaps {
-		g.seen.PassIntervalsUs = g.seen.PassIntervalsUs[1:]
+	if len(g.state.PassIntervalsUs) > maxPassIntervals {
+		g.state.PassIntervalsUs = g.state.PassIntervalsUs[1:]
 	}
-	g.begun = now
+	g.lastPassStart = now
 }
 
 // State returns what the ranks did so far.
 func (g *Group) State() GroupState {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	state := g.seen
-	state.Maps = make(map[MapID]int, len(g.seen.Maps))
-	for name, passes := range g.seen.Maps {
+	state := g.state
+	state.Maps = make(map[MapID]int, len(g.state.Maps))
+	for name, passes := range g.state.Maps {
 		state.Maps[name] = passes
 	}
-	state.PassIntervalsUs = append([]int64(nil), g.seen.PassIntervalsUs...)
+	state.PassIntervalsUs = append([]int64(nil), g.state.PassIntervalsUs...)
 	return state
 }
 
@@ -193,13 +193,13 @@
 			return
 		}
 	}
-	g.form()
+	g.startEpoch()
 }
 
 // SetLate makes each so-manieth order go unanswered and be carried out after a
 // time; 0 ends that.
-func (g *Group) SetLateCommands(each int, by time.Duration) {
+func (g *Group) SetLateCommands(every int, delay time.Duration) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.lateEach, g.lateBy = each, by
+	g.lateEvery, g.lateDelay = every, delay
 }
--- a/standins/engine/group_test.go
+++ b/standins/engine/group_test.go
@@ -7,33 +7,33 @@
 )
 
 // TestGroupCountsMixedPasses: the stand-in must notice what a broken holder does.
-func TestGroupCountsMixedPasses(t *testing.T) {
+func TestGroupCountsPassesWithMixedMaps(t *testing.T) {
 	for name, c := range map[string]struct {
 		orders func(g *Group)
 		mixed  int
 	}{
 		"all ranks armed": {orders: func(g *Group) {
 			for rank := range 2 {
-				g.carryOut(rank, experts.Command{Operation: experts.Arm, Version: 1, Pass: 3, Epoch: 1})
+				g.execute(rank, experts.Command{Operation: experts.Arm, Version: 1, Pass: 3, Epoch: 1})
 			}
 		}},
 		"one rank armed": {mixed: 1, orders: func(g *Group) {
-			g.carryOut(0, experts.Command{Operation: experts.Arm, Version: 1, Pass: 3, Epoch: 1})
+			g.execute(0, experts.Command{Operation: experts.Arm, Version: 1, Pass: 3, Epoch: 1})
 		}},
 		"one rank armed while the other holds the pass": {orders: func(g *Group) {
-			g.carryOut(0, experts.Command{Operation: experts.Arm, Version: 1, Pass: 3, Epoch: 1})
-			g.carryOut(1, experts.Command{Operation: experts.Hold, Pass: 3, Epoch: 1})
+			g.execute(0, experts.Command{Operation: experts.Arm, Version: 1, Pass: 3, Epoch: 1})
+			g.execute(1, experts.Command{Operation: experts.Hold, Pass: 3, Epoch: 1})
 		}},
 		"armed in an epoch that is over": {orders: func(g *Group) {
 			g.SetDown(1, true)
 			g.SetDown(1, false)
-			g.carryOut(0, experts.Command{Operation: experts.Arm, Version: 1, Pass: 3, Epoch: 1})
+			g.execute(0, experts.Command{Operation: experts.Arm, Version: 1, Pass: 3, Epoch: 1})
 		}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			g := NewGroup(GroupOptions{Name: "g", Ranks: 2, Experts: 4, Layers: 1})
 			for rank := range 2 {
-				g.carryOut(rank, experts.Command{Operation: experts.Prepare, Version: 1, Epoch: 1, Map: [][][]int{{{0, 1}, {2, 3}}}})
+				g.execute(rank, experts.Command{Operation: experts.Prepare, Version: 1, Epoch: 1, Map: [][][]int{{{0, 1}, {2, 3}}}})
 			}
 			c.orders(g)
 			for range 3 {
--- a/standins/engine/grouphttp.go
+++ b/standins/engine/grouphttp.go
@@ -31,11 +31,11 @@
 // group goes to other.
 func (g *Group) Handler(rank int, other http.Handler) http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET "+platform.PathReport, func(w http.ResponseWriter, _ *http.Request) { g.report(w, rank) })
+	mux.HandleFunc("GET "+platform.PathReport, func(w http.ResponseWriter, _ *http.Request) { g.serveReport(w, rank) })
 	mux.HandleFunc("GET "+platform.PathCounts, func(w http.ResponseWriter, r *http.Request) {
-		g.picked(w, rank, r.URL.Query().Has("lists"))
+		g.serveCounts(w, rank, r.URL.Query().Has("lists"))
 	})
-	mux.HandleFunc("POST "+platform.PathCommand, func(w http.ResponseWriter, r *http.Request) { g.order(w, r, rank) })
+	mux.HandleFunc("POST "+platform.PathCommand, func(w http.ResponseWriter, r *http.Request) { g.command(w, r, rank) })
 	mux.Handle("/", other)
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if g.isDown(rank) {
@@ -60,13 +60,13 @@
 		g.SetDown(rank, r.PathValue("down") == "true")
 	})
 	mux.HandleFunc("PUT /late/{each}/{ms}", func(w http.ResponseWriter, r *http.Request) {
-		each, err := strconv.Atoi(r.PathValue("each"))
+		every, err := strconv.Atoi(r.PathValue("each"))
 		ms, msErr := strconv.Atoi(r.PathValue("ms"))
 		if err != nil || msErr != nil {
 			http.Error(w, "each, ms: not numbers", http.StatusBadRequest)
 			return
 		}
-		g.SetLateCommands(each, time.Duration(ms)*time.Millisecond)
+		g.SetLateCommands(every, time.Duration(ms)*time.Millisecond)
 	})
 	return mux
 }
@@ -77,7 +77,7 @@
 	return g.ranks[rank].down
 }
 
-func (g *Group) report(w http.ResponseWriter, rank int) {
+func (g *Group) serveReport(w http.ResponseWriter, rank int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	r := g.ranks[rank]
@@ -90,78 +90,78 @@
 		state = "broken"
 	}
 	_ = json.NewEncoder(w).Encode(map[string]any{
-		"sequence": r.sequence, "step": g.pass, "map": r.version, "prepared": r.prepared, "armed": armed, "held": r.held,
+		"sequence": r.sequence, "step": g.pass, "map": r.version, "prepared": r.prepared, "armed": armed, "held": r.heldPass,
 		"running": 1, "size": g.options.Ranks,
 		"group": map[string]any{"name": g.options.Name, "epoch": g.epoch, "rank": rank, "state": state},
 	}) // the reader is gone
 }
 
-func (g *Group) picked(w http.ResponseWriter, rank int, whole bool) {
+func (g *Group) serveCounts(w http.ResponseWriter, rank int, includeMap bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	own := g.ranks[rank]
-	if !whole {
-		_ = json.NewEncoder(w).Encode(map[string]any{"step": g.pass, "epoch": g.epoch, "counts": own.counts}) // the reader is gone
+	r := g.ranks[rank]
+	if !includeMap {
+		_ = json.NewEncoder(w).Encode(map[string]any{"step": g.pass, "epoch": g.epoch, "counts": r.counts}) // the reader is gone
 		return
 	}
 	lists := make([][]int, g.options.Layers)
 	for set := range lists {
-		lists[set] = own.lists[own.version][set][rank]
+		lists[set] = r.maps[r.version][set][rank]
 	}
-	_ = json.NewEncoder(w).Encode(map[string]any{"map": map[string]any{"version": own.version, "experts": lists}}) // the reader is gone
+	_ = json.NewEncoder(w).Encode(map[string]any{"map": map[string]any{"version": r.version, "experts": lists}}) // the reader is gone
 }
 
-func (g *Group) order(w http.ResponseWriter, r *http.Request, rank int) {
-	order, err := platform.DecodeCommand(r.Body)
+func (g *Group) command(w http.ResponseWriter, r *http.Request, rank int) {
+	command, err := platform.DecodeCommand(r.Body)
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if g.ordered++; g.lateEach > 0 && g.ordered%g.lateEach == 0 {
-		time.AfterFunc(g.lateBy, func() { g.carryOutLate(rank, order) })
+	if g.commandCount++; g.lateEvery > 0 && g.commandCount%g.lateEvery == 0 {
+		time.AfterFunc(g.lateDelay, func() { g.executeLate(rank, command) })
 		panic(http.ErrAbortHandler)
 	}
-	w.WriteHeader(g.carryOut(rank, order))
+	w.WriteHeader(g.execute(rank, command))
 }
 
-func (g *Group) carryOutLate(rank int, order experts.Command) {
+func (g *Group) executeLate(rank int, command experts.Command) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.carryOut(rank, order)
+	g.execute(rank, command)
 }
 
 // carryOut returns the status of an order. The caller holds mu.
-func (g *Group) carryOut(rank int, o experts.Command) int {
-	own := g.ranks[rank]
-	if o.Fence < own.fence && !g.options.IgnoreFences {
+func (g *Group) execute(rank int, c experts.Command) int {
+	r := g.ranks[rank]
+	if c.Fence < r.fence && !g.options.IgnoreFences {
 		return http.StatusPreconditionFailed
 	}
-	own.fence = max(own.fence, o.Fence)
-	if o.Epoch != g.epoch || g.broken || own.down {
+	r.fence = max(r.fence, c.Fence)
+	if c.Epoch != g.epoch || g.broken || r.down {
 		return http.StatusConflict
 	}
 	switch {
-	case o.Operation == experts.Prepare && o.Version == own.prepared:
+	case c.Operation == experts.Prepare && c.Version == r.prepared:
 		return http.StatusOK
-	case o.Operation == experts.Prepare && o.Version > own.highest && own.armed == 0:
-		own.prepared, own.highest, own.lists[o.Version] = o.Version, o.Version, o.Map
-	case o.Operation == experts.Arm && o.Version == own.prepared && o.Pass > g.pass:
-		own.armed, own.armedPass = o.Version, o.Pass
-	case o.Operation == experts.Hold && o.Pass > g.pass && (own.held == 0 || own.held == o.Pass):
-		own.held = o.Pass
-	case o.Operation == experts.Release:
-		if own.held == o.Pass {
-			own.held = 0
+	case c.Operation == experts.Prepare && c.Version > r.highestPrepared && r.armed == 0:
+		r.prepared, r.highestPrepared, r.maps[c.Version] = c.Version, c.Version, c.Map
+	case c.Operation == experts.Arm && c.Version == r.prepared && c.Pass > g.pass:
+		r.armed, r.armedPass = c.Version, c.Pass
+	case c.Operation == experts.Hold && c.Pass > g.pass && (r.heldPass == 0 || r.heldPass == c.Pass):
+		r.heldPass = c.Pass
+	case c.Operation == experts.Release:
+		if r.heldPass == c.Pass {
+			r.heldPass = 0
 		}
-	case o.Operation == experts.Disarm && o.Version != own.version:
-		if own.armed == o.Version {
-			own.armed = 0
+	case c.Operation == experts.Disarm && c.Version != r.version:
+		if r.armed == c.Version {
+			r.armed = 0
 		}
 	default:
 		return http.StatusConflict
 	}
-	own.sequence++
+	r.sequence++
 	return http.StatusAccepted
 }
--- a/standins/faultproxy/faultproxy.go
+++ b/standins/faultproxy/faultproxy.go
@@ -42,8 +42,8 @@
 	// delayTime is how long Delay holds a piece back.
 	delayTime = 60 * time.Millisecond
 	// holdPoll is how often a held piece looks whether it may go on.
-	holdPoll  = 5 * time.Millisecond
-	pieceSize = 32 << 10
+	holdPoll   = 5 * time.Millisecond
+	bufferSize = 32 << 10
 )
 
 // Relay forwards connections. Safe for concurrent use.
@@ -52,34 +52,34 @@
 	mode  Mode
 	conns map[*net.TCPConn]bool
 	// stale are connections that have fallen silent.
-	stale map[*net.TCPConn]bool
+	blackholed map[*net.TCPConn]bool
 }
 
 // New returns a relay that passes everything.
 func New() *Proxy {
-	return &Proxy{mode: Pass, conns: map[*net.TCPConn]bool{}, stale: map[*net.TCPConn]bool{}}
+	return &Proxy{mode: Pass, conns: map[*net.TCPConn]bool{}, blackholed: map[*net.TCPConn]bool{}}
 }
 
 // SetMode changes what the relay does.
-func (r *Proxy) SetMode(mode Mode) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.mode = mode
-	for conn := range r.conns {
+func (p *Proxy) SetMode(mode Mode) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.mode = mode
+	for conn := range p.conns {
 		switch mode {
 		case Reset:
 			reset(conn)
 		case BlackholeExisting:
-			r.stale[conn] = true
+			p.blackholed[conn] = true
 		default:
 		}
 	}
 }
 
-func (r *Proxy) current() Mode {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	return r.mode
+func (p *Proxy) currentMode() Mode {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return p.mode
 }
 
 func reset(conn *net.TCPConn) {
@@ -88,16 +88,16 @@
 }
 
 // Control returns the harness's interface: PUT /mode/MODE.
-func (r *Proxy) ControlHandler() http.Handler {
+func (p *Proxy) ControlHandler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("PUT /mode/{mode}", func(_ http.ResponseWriter, request *http.Request) {
-		r.SetMode(Mode(request.PathValue("mode")))
+		p.SetMode(Mode(request.PathValue("mode")))
 	})
 	return mux
 }
 
 // Run forwards each pair, written listen=target, until a listener fails.
-func (r *Proxy) Run(pairs []string) error {
+func (p *Proxy) Run(pairs []string) error {
 	var group errgroup.Group
 	for _, pair := range pairs {
 		listen, target, found := strings.Cut(pair, "=")
@@ -108,69 +108,69 @@
 		if err != nil {
 			return errors.Wrap(err, pair)
 		}
-		group.Go(func() error { return r.accept(listener, target) })
+		group.Go(func() error { return p.accept(listener, target) })
 	}
 	return group.Wait()
 }
 
-func (r *Proxy) accept(listener net.Listener, target string) error {
+func (p *Proxy) accept(listener net.Listener, target string) error {
 	for {
 		conn, err := listener.Accept()
 		if err != nil {
 			return errors.Wrap(err, "accept")
 		}
-		go r.forward(conn.(*net.TCPConn), target)
+		go p.forward(conn.(*net.TCPConn), target)
 	}
 }
 
-func (r *Proxy) forward(near *net.TCPConn, target string) {
-	if r.current() == Reset {
-		reset(near)
+func (p *Proxy) forward(downstream *net.TCPConn, target string) {
+	if p.currentMode() == Reset {
+		reset(downstream)
 		return
 	}
 	conn, err := net.Dial("tcp", target)
 	if err != nil {
-		reset(near) // the target is gone, and so is the link
+		reset(downstream) // the target is gone, and so is the link
 		return
 	}
-	far := conn.(*net.TCPConn)
-	r.track(near, far)
-	defer r.forget(near, far)
-	back := make(chan struct{})
+	upstream := conn.(*net.TCPConn)
+	p.track(downstream, upstream)
+	defer p.closeAll(downstream, upstream)
+	responsesDone := make(chan struct{})
 	go func() {
-		defer close(back)
-		r.pipe(near, far, HoldReplies)
+		defer close(responsesDone)
+		p.forwardData(downstream, upstream, HoldReplies)
 	}()
-	r.pipe(far, near, HoldAll)
-	<-back
+	p.forwardData(upstream, downstream, HoldAll)
+	<-responsesDone
 }
 
-func (r *Proxy) track(conns ...*net.TCPConn) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
+func (p *Proxy) track(conns ...*net.TCPConn) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
 	for _, conn := range conns {
-		r.conns[conn] = true
+		p.conns[conn] = true
 	}
 }
 
-func (r *Proxy) forget(conns ...*net.TCPConn) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
+func (p *Proxy) closeAll(conns ...*net.TCPConn) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
 	for _, conn := range conns {
-		delete(r.conns, conn)
-		delete(r.stale, conn)
+		delete(p.conns, conn)
+		delete(p.blackholed, conn)
 		_ = conn.Close() // closed by either side already
 	}
 }
 
 // pipe forwards pieces until either side leaves. A mode of that name holds them,
 // as Silent does.
-func (r *Proxy) pipe(to, from *net.TCPConn, held Mode) {
-	buffer := make([]byte, pieceSize)
+func (p *Proxy) forwardData(to, from *net.TCPConn, holdMode Mode) {
+	buffer := make([]byte, bufferSize)
 	for {
 		n, err := from.Read(buffer)
-		r.hold(held)
-		if r.isStale(from) && err == nil {
+		p.waitWhileHeld(holdMode)
+		if p.isBlackholed(from) && err == nil {
 			continue // taken, and never passed on
 		}
 		if n > 0 {
@@ -189,20 +189,20 @@
 	_ = from.Close()
 }
 
-func (r *Proxy) isStale(conn *net.TCPConn) bool {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	return r.stale[conn]
+func (p *Proxy) isBlackholed(conn *net.TCPConn) bool {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return p.blackholed[conn]
 }
 
 // hold waits as the mode asks.
-func (r *Proxy) hold(held Mode) {
-	mode := r.current()
+func (p *Proxy) waitWhileHeld(holdMode Mode) {
+	mode := p.currentMode()
 	if mode == Delay {
 		time.Sleep(delayTime)
 	}
-	for mode == HoldAll || mode == held {
+	for mode == HoldAll || mode == holdMode {
 		time.Sleep(holdPoll)
-		mode = r.current()
+		mode = p.currentMode()
 	}
 }
--- a/standins/harness/cluster.go
+++ b/standins/harness/cluster.go
@@ -25,11 +25,11 @@
 	// PlatformURL is the platform stand-in's control port.
 	PlatformURL string
 
-	bin, dir  string
-	platforms map[string]string // the platform's address by zone
-	links     map[string]string // addresses by zone and entry
-	order     []string
-	ranks     []string // addresses of the engines in the group, by rank
+	bin, dir          string
+	platformAddresses map[string]string // the platform's address by zone
+	linkAddresses     map[string]string // addresses by zone and entry
+	startOrder        []string
+	rankAddresses     []string // addresses of the engines in the group, by rank
 	// groupURL is the control port of the group's stand-in.
 	groupURL string
 	proxyURL string
@@ -45,15 +45,15 @@
 )
 
 // Customers of the harness's deployments.
-var customers = []string{"rozsa", "tulipan", "szegfu"}
+var customerNames = []string{"rozsa", "tulipan", "szegfu"}
 
 // New lays out a deployment whose binaries are in bin and whose logs go to dir.
 func New(layout Layout, bin, dir string) (*Cluster, error) {
 	c := &Cluster{
 		Layout: layout, Processes: map[string]*Process{},
-		bin: bin, dir: dir, platforms: map[string]string{}, links: map[string]string{},
+		bin: bin, dir: dir, platformAddresses: map[string]string{}, linkAddresses: map[string]string{},
 	}
-	for _, customer := range customers {
+	for _, customer := range customerNames {
 		c.Keys = append(c.Keys, "key-of-"+customer)
 	}
 	if err := c.addPlatform(); err != nil {
@@ -79,8 +79,8 @@
 
 // Start starts all processes and applies the configuration.
 func (c *Cluster) Start() error {
-	started := func(prefix string) error {
-		for _, name := range c.order {
+	startAll := func(prefix string) error {
+		for _, name := range c.startOrder {
 			if strings.HasPrefix(name, prefix) {
 				if err := c.Processes[name].Start(); err != nil {
 					return err
@@ -90,7 +90,7 @@
 		return nil
 	}
 	for _, prefix := range []string{"platform", "link-", "proxy", "backend-", "entry-"} {
-		if err := started(prefix); err != nil {
+		if err := startAll(prefix); err != nil {
 			return err
 		}
 	}
@@ -101,7 +101,7 @@
 	if out, err := c.RunCLI("apply", "-f", manifest, "--reason", "first configuration"); err != nil {
 		return errors.Wrap(err, out)
 	}
-	if err := started("agent-"); err != nil {
+	if err := startAll("agent-"); err != nil {
 		return err
 	}
 	return c.awaitRouting()
@@ -127,26 +127,26 @@
 
 // Callers returns the addresses for callers of the entries that run.
 func (c *Cluster) CallerAddresses() []string {
-	var found []string
+	var running []string
 	for _, e := range c.Entries {
 		if c.Processes[e.Name].Running() {
-			found = append(found, e.CallerAddress)
+			running = append(running, e.CallerAddress)
 		}
 	}
-	return found
+	return running
 }
 
 // ProxyMode sets what the relay between entries and agents does.
 func (c *Cluster) SetProxyMode(mode faultproxy.Mode) error {
-	return put(c.proxyURL+"/mode/"+string(mode), "")
+	return putFault(c.proxyURL+"/mode/"+string(mode), "")
 }
 
 // Fault sets a fault at the platform, such as `log` with a JSON body.
 func (c *Cluster) InjectFault(path, body string) error {
-	return put(c.PlatformURL+path, body)
+	return putFault(c.PlatformURL+path, body)
 }
 
-func put(url, body string) error {
+func putFault(url, body string) error {
 	request, err := http.NewRequest(http.MethodPut, url, strings.NewReader(body))
 	if err != nil {
 		return errors.Wrap(err, "fault")
@@ -173,7 +173,7 @@
 }
 
 // GroupFault sets a fault at the group's engines, such as down/0/true.
-func (c *Cluster) InjectGroupFault(path string) error { return put(c.groupURL+"/"+path, "") }
+func (c *Cluster) InjectGroupFault(path string) error { return putFault(c.groupURL+"/"+path, "") }
 
 // Holder returns the name of the process that holds the group's lease, as an
 // entry that answers tells it.
@@ -195,7 +195,7 @@
 func (c *Cluster) StopAll() error {
 	var first error
 	for _, prefix := range []string{"entry-", "agent-"} {
-		for _, name := range c.order {
+		for _, name := range c.startOrder {
 			process := c.Processes[name]
 			if !strings.HasPrefix(name, prefix) || !process.Running() {
 				continue
@@ -211,7 +211,7 @@
 
 // KillAll ends every process at once.
 func (c *Cluster) KillAll() {
-	for _, name := range slices.Backward(c.order) {
+	for _, name := range slices.Backward(c.startOrder) {
 		if process := c.Processes[name]; process.Running() {
 			_ = process.Kill() // it ended by itself meanwhile
 		}
--- a/standins/harness/layout.go
+++ b/standins/harness/layout.go
@@ -70,13 +70,13 @@
 	control string
 	metrics string
 	// proxied is the address at which entries reach the agent by the proxy, or empty.
-	proxied string
+	proxyAddress string
 }
 
 // reached is where entries reach the agent.
-func (s *Server) reached() string {
-	if s.proxied != "" {
-		return s.proxied
+func (s *Server) dialAddress() string {
+	if s.proxyAddress != "" {
+		return s.proxyAddress
 	}
 	return s.address
 }
@@ -105,12 +105,12 @@
 			if err != nil {
 				return err
 			}
-			c.links[zone+e.Name] = address
+			c.linkAddresses[zone+e.Name] = address
 			args = append(args, "--pair", address+"="+e.ControlAddress)
 			ready = address
 		}
 		if ready != "" {
-			c.add("link-"+zone, "standin", ready, args)
+			c.addProcess("link-"+zone, "standin", ready, args)
 		}
 	}
 	return nil
@@ -133,15 +133,15 @@
 			return err
 		}
 		args = append(args, "--pair", address+"="+c.Servers[i].address)
-		c.Servers[i].proxied = address
+		c.Servers[i].proxyAddress = address
 	}
-	c.add("proxy", "standin", listen, args)
+	c.addProcess("proxy", "standin", listen, args)
 	return nil
 }
 
 // addGroup lays the stand-in of the group's engines, one process for all ranks.
 func (c *Cluster) addGroup() error {
-	if len(c.ranks) == 0 {
+	if len(c.rankAddresses) == 0 {
 		return nil
 	}
 	listen, err := freeAddress()
@@ -153,13 +153,13 @@
 		"group", "--name", GroupName, "--listen", listen, "--step", c.Layout.StepTime.String(), "--recorder", c.PlatformURL,
 		"--experts", strconv.Itoa(groupExperts), "--sets", strconv.Itoa(groupLayers),
 	}
-	for _, address := range c.ranks {
+	for _, address := range c.rankAddresses {
 		args = append(args, "--rank", address)
 	}
 	if c.Layout.IgnoreFences {
 		args = append(args, "--ignore-fences")
 	}
-	c.add("backend-"+GroupName, "standin", listen, args)
+	c.addProcess("backend-"+GroupName, "standin", listen, args)
 	return nil
 }
 
@@ -175,16 +175,16 @@
 		if err != nil {
 			return err
 		}
-		c.platforms[zone] = address
+		c.platformAddresses[zone] = address
 		args = append(args, "--zone", zone+"="+address)
 	}
-	c.add("platform", "standin", listen, args)
+	c.addProcess("platform", "standin", listen, args)
 	return nil
 }
 
 func (c *Cluster) addZone(zone string) error {
 	for i := range c.Layout.EntriesPerZone {
-		addresses, err := addresses(3)
+		addresses, err := freeAddresses(3)
 		if err != nil {
 			return err
 		}
@@ -203,8 +203,8 @@
 			return err
 		}
 		s := &c.Servers[len(c.Servers)-1]
-		s.Protocol, s.Group, s.Rank = "engine", GroupName, len(c.ranks)
-		c.ranks = append(c.ranks, s.backend)
+		s.Protocol, s.Group, s.Rank = "engine", GroupName, len(c.rankAddresses)
+		c.rankAddresses = append(c.rankAddresses, s.backend)
 	}
 	for i := range c.Layout.PlainPerZone {
 		if err := c.addServer(zone, "courier-api", "plain", i); err != nil {
@@ -215,7 +215,7 @@
 }
 
 func (c *Cluster) addServer(zone, service, protocol string, i int) error {
-	addresses, err := addresses(4)
+	addresses, err := freeAddresses(4)
 	if err != nil {
 		return err
 	}
@@ -226,24 +226,24 @@
 	return nil
 }
 
-func addresses(n int) ([]string, error) {
-	found := make([]string, 0, n)
+func freeAddresses(n int) ([]string, error) {
+	free := make([]string, 0, n)
 	for range n {
 		address, err := freeAddress()
 		if err != nil {
 			return nil, err
 		}
-		found = append(found, address)
+		free = append(free, address)
 	}
-	return found, nil
+	return free, nil
 }
 
-func (c *Cluster) add(name, binary, ready string, args []string) {
+func (c *Cluster) addProcess(name, binary, ready string, args []string) {
 	c.Processes[name] = &Process{
 		Name: name, binary: filepath.Join(c.bin, binary), args: args,
-		ready: ready, logPath: logFile(c.dir, name),
+		readyAddress: ready, logPath: logFile(c.dir, name),
 	}
-	c.order = append(c.order, name)
+	c.startOrder = append(c.startOrder, name)
 }
 
 func (c *Cluster) addProcesses() {
@@ -253,30 +253,30 @@
 			args = append(args, "--recorder", c.PlatformURL)
 		}
 		if !c.Layout.NoBackends && s.Group == "" {
-			c.add("backend-"+s.Name, "standin", s.backend, args)
+			c.addProcess("backend-"+s.Name, "standin", s.backend, args)
 		}
 	}
 	for _, e := range c.Entries {
-		c.add(e.Name, "crowbridged", e.CallerAddress, append([]string{
+		c.addProcess(e.Name, "crowbridged", e.CallerAddress, append([]string{
 			"entry", "--name", e.Name, "--zone", e.Zone, "--listen", e.CallerAddress, "--control", e.ControlAddress,
 			"--metrics", e.metrics, "--daemon-key", DaemonKey, "--log-level", c.Layout.logLevel(),
 			"--drain-timeout", c.Layout.DrainTimeout.String(),
-			"--store", c.platforms[e.Zone],
+			"--store", c.platformAddresses[e.Zone],
 			"--operator", "ops:change:" + daemon.HashSecret(operatorToken),
 			"--operator", "viewer:read:" + daemon.HashSecret(readerToken),
 		}, append(c.peerArgs(e.Zone), c.Layout.EntryArgs...)...))
 	}
 	for _, s := range c.Servers {
-		rank := []string{}
+		storeArgs := []string{}
 		if s.Group != "" {
-			rank = []string{"--store", c.platforms[s.Zone]}
+			storeArgs = []string{"--store", c.platformAddresses[s.Zone]}
 		}
-		c.add("agent-"+s.Name, "crowbridged", s.address, append(append([]string{
+		c.addProcess("agent-"+s.Name, "crowbridged", s.address, append(append([]string{
 			"agent", "--server", s.Name, "--zone", s.Zone, "--listen", s.address, "--control", s.control,
 			"--metrics", s.metrics, "--daemon-key", DaemonKey, "--backend", "http://" + s.backend,
 			"--protocol", s.Protocol, "--log-level", c.Layout.logLevel(), "--drain-timeout", c.Layout.DrainTimeout.String(),
 			"--config-timeout", "1s",
-		}, append(c.peerArgs(s.Zone), c.Layout.AgentArgs...)...), rank...))
+		}, append(c.peerArgs(s.Zone), c.Layout.AgentArgs...)...), storeArgs...))
 	}
 }
 
@@ -285,7 +285,7 @@
 	var args []string
 	for _, e := range c.Entries {
 		address := e.ControlAddress
-		if link := c.links[zone+e.Name]; link != "" {
+		if link := c.linkAddresses[zone+e.Name]; link != "" {
 			address = link
 		}
 		args = append(args, "--entry-peer", e.Zone+"="+address)
--- a/standins/harness/operator.go
+++ b/standins/harness/operator.go
@@ -21,16 +21,16 @@
 
 // OperatorAt runs the operators' command line against the given entries.
 func (c *Cluster) RunCLIAt(controls string, args ...string) (string, error) {
-	return c.as(operatorToken, controls, args)
+	return c.runCLI(operatorToken, controls, args)
 }
 
 // Reader runs the operators' command line with the token of somebody who may
 // only read.
 func (c *Cluster) RunReadOnlyCLI(args ...string) (string, error) {
-	return c.as(readerToken, c.Entries[0].ControlAddress, args)
+	return c.runCLI(readerToken, c.Entries[0].ControlAddress, args)
 }
 
-func (c *Cluster) as(token, controls string, args []string) (string, error) {
+func (c *Cluster) runCLI(token, controls string, args []string) (string, error) {
 	cmd := exec.Command(filepath.Join(c.bin, "crowbridge"), args...)
 	cmd.Env = append(os.Environ(), "CROWBRIDGE_ENTRY="+controls, "CROWBRIDGE_TOKEN="+token)
 	var out bytes.Buffer
--- a/standins/harness/process.go
+++ b/standins/harness/process.go
@@ -18,11 +18,11 @@
 
 // Process is one process that the harness started.
 type Process struct {
-	Name    string
-	binary  string
-	args    []string
-	ready   string // address that accepts connections once the process serves
-	logPath string
+	Name         string
+	binary       string
+	args         []string
+	readyAddress string // address that accepts connections once the process serves
+	logPath      string
 
 	mu     sync.Mutex
 	cmd    *exec.Cmd
@@ -72,13 +72,13 @@
 			return errors.Errorf("%s ended at its start; see %s", p.Name, p.logPath)
 		default:
 		}
-		conn, err := net.DialTimeout("tcp", p.ready, readyPoll)
+		conn, err := net.DialTimeout("tcp", p.readyAddress, readyPoll)
 		if err == nil {
 			return errors.Wrap(conn.Close(), p.Name)
 		}
 		time.Sleep(readyPoll)
 	}
-	return errors.Errorf("%s doesn't serve on %s; see %s", p.Name, p.ready, p.logPath)
+	return errors.Errorf("%s doesn't serve on %s; see %s", p.Name, p.readyAddress, p.logPath)
 }
 
 // Signal sends a signal.
@@ -147,17 +147,17 @@
 	lastPort  = 32000
 	// portSpread puts processes whose numbers follow each other far apart in that
 	// range, by the golden ratio: each walks on from where it began.
-	portSpread = 8653
+	portStride = 8653
 )
 
 var nextPort atomic.Int64
 
-func init() { nextPort.Store(int64(firstPort + os.Getpid()*portSpread%(lastPort-firstPort))) }
+func init() { nextPort.Store(int64(firstPort + os.Getpid()*portStride%(lastPort-firstPort))) }
 
 // ownLoopback is an address of this process's own: of two deployments side by side, neither
 // takes a port of the other's while a process there is down. An entry that was to start again
 // once found its port in use, and its callers got wrong answers (soak seed 424).
-func ownLoopback() string {
+func processLoopback() string {
 	pid := os.Getpid()
 	return fmt.Sprintf("127.%d.%d.%d", 64+pid>>16&63, pid>>8&255, pid&255)
 }
@@ -167,7 +167,7 @@
 func freeAddress() (string, error) {
 	for range lastPort - firstPort {
 		port := firstPort + nextPort.Add(1)%(lastPort-firstPort)
-		address := fmt.Sprintf("%s:%d", ownLoopback(), port)
+		address := fmt.Sprintf("%s:%d", processLoopback(), port)
 		listener, err := net.Listen("tcp", address)
 		if err != nil {
 			continue
--- a/standins/limitsim/limitsim.go
+++ b/standins/limitsim/limitsim.go
@@ -22,13 +22,13 @@
 	// Settles is how long a server's word takes to hold everywhere.
 	SettleTime = 3 * time.Second
 	// tellPace is the least time between a daemon's messages.
-	tellPace = 10 * time.Millisecond
+	sendInterval = 10 * time.Millisecond
 	// usualDelay and usualDemand are the longest way of a message, and the requests a second
 	// that a daemon gets, unless they're changed.
-	usualDelay  = 4 * time.Millisecond
-	usualDemand = 10
+	defaultMaxDelay    = 4 * time.Millisecond
+	defaultRequestRate = 10
 	// looks is how many servers a request looks at for one that takes it.
-	looks = 3
+	maxAttempts = 3
 )
 
 // Allowed is what a server with a limit may get in one window: half as much again as it named,
@@ -47,14 +47,14 @@
 	// Gone is set when it has ended.
 	Stopped bool
 
-	told  time.Time
-	inbox []message
+	lastSent time.Time
+	inbox    []message
 }
 
 type message struct {
-	from string
-	at   time.Time
-	news *peerrpc.LimitNews
+	from      string
+	deliverAt time.Time
+	update    *peerrpc.LimitNews
 }
 
 // Sim is a fleet and its servers.
@@ -85,7 +85,7 @@
 // New returns a fleet of some daemons before some servers.
 func New(seed uint64, daemons, servers int, limit float64) *Sim {
 	s := &Sim{
-		Random: rand.New(rand.NewPCG(seed, 7)), Now: time.Unix(9000, 0), MaxDelay: usualDelay,
+		Random: rand.New(rand.NewPCG(seed, 7)), Now: time.Unix(9000, 0), MaxDelay: defaultMaxDelay,
 		Limit: ratelimit.Limit{Present: true, PerSecond: limit}, SentByCustomer: map[string]int{}, SentByServer: map[string][]time.Time{},
 		DrawCustomer: func(*rand.Rand) string { return "" },
 	}
@@ -102,7 +102,7 @@
 // them, and sends by the whole limit.
 func (s *Sim) AddDaemon() {
 	s.nextID++
-	d := &Daemon{Table: ratelimit.New(s.nextID, s.Random.Float64), RequestRate: usualDemand}
+	d := &Daemon{Table: ratelimit.New(s.nextID, s.Random.Float64), RequestRate: defaultRequestRate}
 	for _, other := range s.Daemons {
 		if !other.Stopped {
 			d.Partition = other.Partition
@@ -145,27 +145,27 @@
 
 // step lets one daemon hear, send requests and tell.
 func (s *Sim) step(i int, d *Daemon) {
-	kept := d.inbox[:0]
+	pending := d.inbox[:0]
 	for _, m := range d.inbox {
-		if m.at.After(s.Now) {
-			kept = append(kept, m)
+		if m.deliverAt.After(s.Now) {
+			pending = append(pending, m)
 			continue
 		}
-		d.Table.Receive(m.from, m.news, s.Now)
+		d.Table.Receive(m.from, m.update, s.Now)
 	}
-	d.inbox = kept
+	d.inbox = pending
 	for due := d.RequestRate * Step.Seconds(); due > 0; due-- {
 		if s.Random.Float64() < due {
-			s.request(d)
+			s.sendRequest(d)
 		}
 	}
-	switch since := s.Now.Sub(d.told); {
+	switch since := s.Now.Sub(d.lastSent); {
 	case since >= d.Table.RefreshInterval():
-		d.told = s.Now
+		d.lastSent = s.Now
 		s.send(i, d.Table.RefreshMessages(s.Now))
-	case since >= tellPace:
-		if news := d.Table.Updates(s.Now); len(news) > 0 {
-			s.send(i, news)
+	case since >= sendInterval:
+		if updates := d.Table.Updates(s.Now); len(updates) > 0 {
+			s.send(i, updates)
 		}
 	}
 }
@@ -183,33 +183,33 @@
 			if to.Partition != s.Daemons[from].Partition || s.Random.Float64() < s.Loss {
 				continue
 			}
-			late := time.Duration(s.Random.Float64() * float64(s.MaxDelay))
-			to.inbox = append(to.inbox, message{from: fmt.Sprint("d", from), at: s.Now.Add(late), news: m})
+			delay := time.Duration(s.Random.Float64() * float64(s.MaxDelay))
+			to.inbox = append(to.inbox, message{from: fmt.Sprint("d", from), deliverAt: s.Now.Add(delay), update: m})
 		}
 	}
 }
 
 // request sends one to a server if one takes it, and hears its word.
-func (s *Sim) request(d *Daemon) {
-	want := ratelimit.TokenRequest{Customer: s.DrawCustomer(s.Random)}
-	for range looks {
+func (s *Sim) sendRequest(d *Daemon) {
+	request := ratelimit.TokenRequest{Customer: s.DrawCustomer(s.Random)}
+	for range maxAttempts {
 		server := s.servers[s.Random.IntN(len(s.servers))]
-		if d.Table.Wait(server, want, s.Now) > 0 || d.Table.Acquire(server, want, s.Now) > 0 {
+		if d.Table.Wait(server, request, s.Now) > 0 || d.Table.Acquire(server, request, s.Now) > 0 {
 			continue
 		}
 		s.SentByServer[server] = append(s.SentByServer[server], s.Now)
-		s.SentByCustomer[want.Customer]++
-		word := s.Limit
-		word.RequestedAt, word.ReceivedAt = s.Now.Add(-Step/2), s.Now
-		d.Table.UpdateLimit(server, word)
+		s.SentByCustomer[request.Customer]++
+		limit := s.Limit
+		limit.RequestedAt, limit.ReceivedAt = s.Now.Add(-Step/2), s.Now
+		d.Table.UpdateLimit(server, limit)
 		return
 	}
-	d.Table.RecordRefusal([]string{s.servers[s.Random.IntN(len(s.servers))]}, want, s.Now)
+	d.Table.RecordRefusal([]string{s.servers[s.Random.IntN(len(s.servers))]}, request, s.Now)
 }
 
 // Since counts what was sent to all servers from a time on, and the most to one of them in a
 // window that began then.
-func (s *Sim) CountSince(from time.Time) (count, worst int) {
+func (s *Sim) CountSince(from time.Time) (count, maxInWindow int) {
 	for _, sent := range s.SentByServer {
 		first, _ := slices.BinarySearchFunc(sent, from, time.Time.Compare)
 		sent = sent[first:]
@@ -219,10 +219,10 @@
 			for end < len(sent) && sent[end].Sub(at) < Window {
 				end++
 			}
-			worst = max(worst, end-i)
+			maxInWindow = max(maxInWindow, end-i)
 		}
 	}
-	return count, worst
+	return count, maxInWindow
 }
 
 // Disturb does something to the fleet at random.
@@ -238,7 +238,7 @@
 	case 3:
 		d.FrozenUntil = s.Now.Add(time.Duration(s.Random.IntN(6000)) * time.Millisecond)
 	case 4:
-		s.cut()
+		s.partition()
 	case 5:
 		for _, other := range s.Daemons {
 			other.Partition = 0
@@ -253,7 +253,7 @@
 }
 
 // cut puts each daemon on one of two sides.
-func (s *Sim) cut() {
+func (s *Sim) partition() {
 	s.PartitionedAt = append(s.PartitionedAt, s.Now)
 	for _, d := range s.Daemons {
 		d.Partition = s.Random.IntN(2)
@@ -263,11 +263,11 @@
 // AddedByCuts is what cuts may have added to a window that began after a time, until it was
 // noticed that the others are silent.
 func (s *Sim) PartitionExcess(from time.Time) int {
-	added := 0.0
+	excess := 0.0
 	for _, at := range s.PartitionedAt {
-		if noticed, most := ratelimit.PartitionExcess(s.Limit.PerSecond); at.After(from.Add(-noticed)) {
-			added += most
+		if detection, perPartition := ratelimit.PartitionExcess(s.Limit.PerSecond); at.After(from.Add(-detection)) {
+			excess += perPartition
 		}
 	}
-	return int(added)
+	return int(excess)
 }
--- a/standins/limitsim/limitsim_test.go
+++ b/standins/limitsim/limitsim_test.go
@@ -11,7 +11,7 @@
 	. "github.com/onsi/gomega"
 )
 
-func TestLimitHoldsAndIsUsed(t *testing.T) {
+func TestLimitIsRespectedAndUsed(t *testing.T) {
 	for _, c := range []struct {
 		daemons int
 		limit   float64
@@ -32,24 +32,24 @@
 				}
 			}
 			s.Run(SettleTime)
-			from, counted := s.Now, time.Duration(30/min(c.limit, 1)*float64(time.Second))
-			s.Run(counted)
-			count, worst := s.CountSince(from)
-			t.Logf("used %.2f, worst %d of %d", float64(count)/c.limit/counted.Seconds(), worst, MaxRequests(c.limit))
-			g.Expect(worst).To(BeNumerically("<=", MaxRequests(c.limit)))
-			g.Expect(float64(count)).To(BeNumerically("<=", c.limit*counted.Seconds()+3), "in the long run, but for what a bucket held")
-			g.Expect(float64(count)).To(BeNumerically(">=", 0.8*c.limit*counted.Seconds()-1))
+			from, measured := s.Now, time.Duration(30/min(c.limit, 1)*float64(time.Second))
+			s.Run(measured)
+			count, maxInWindow := s.CountSince(from)
+			t.Logf("used %.2f, worst %d of %d", float64(count)/c.limit/measured.Seconds(), maxInWindow, MaxRequests(c.limit))
+			g.Expect(maxInWindow).To(BeNumerically("<=", MaxRequests(c.limit)))
+			g.Expect(float64(count)).To(BeNumerically("<=", c.limit*measured.Seconds()+3), "in the long run, but for what a bucket held")
+			g.Expect(float64(count)).To(BeNumerically(">=", 0.8*c.limit*measured.Seconds()-1))
 		})
 	}
 }
 
 // troubles is how many seeds TestLimitHoldsInTrouble plays.
-var troubles = flag.Uint64("troubles", 10, "seeds of daemons, messages and limits in trouble")
+var faultSeeds = flag.Uint64("troubles", 10, "seeds of daemons, messages and limits in trouble")
 
 // TestLimitHoldsInTrouble: whatever happens to daemons, messages and the limit, the sum of all
 // stays below what the server may get, also of those that are cut off from each other.
-func TestLimitHoldsInTrouble(t *testing.T) {
-	for seed := range *troubles {
+func TestLimitHoldsUnderRandomFaults(t *testing.T) {
+	for seed := range *faultSeeds {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			g := NewWithT(t)
 			s := New(seed, 8, 1, 1)
@@ -64,15 +64,15 @@
 					from = settled
 				}
 				s.Run(time.Duration(s.Random.IntN(8000)) * time.Millisecond)
-				_, worst := s.CountSince(from)
-				g.Expect(worst).To(BeNumerically("<=", MaxRequests(s.Limit.PerSecond)+s.PartitionExcess(from)),
+				_, maxInWindow := s.CountSince(from)
+				g.Expect(maxInWindow).To(BeNumerically("<=", MaxRequests(s.Limit.PerSecond)+s.PartitionExcess(from)),
 					"at %g a second, %d daemons, loss %g, delay %s", s.Limit.PerSecond, len(s.Daemons), s.Loss, s.MaxDelay)
 			}
 		})
 	}
 }
 
-func TestWhatIsLeftGoesToCustomersInTurn(t *testing.T) {
+func TestCustomersShareLimitFairly(t *testing.T) {
 	g := NewWithT(t)
 	s := New(3, 8, 1, 2)
 	s.DrawCustomer = func(r *rand.Rand) string { // one asks for nine in ten
@@ -82,24 +82,24 @@
 		return fmt.Sprint("c", r.IntN(4))
 	}
 	s.Run(time.Minute)
-	all := 0
+	total := 0
 	for _, n := range s.SentByCustomer {
-		all += n
+		total += n
 	}
 	for _, customer := range []string{"busy", "c0", "c1", "c2", "c3"} {
-		g.Expect(s.SentByCustomer[customer]).To(BeNumerically(">=", all/5/2), "%s of %v", customer, s.SentByCustomer)
+		g.Expect(s.SentByCustomer[customer]).To(BeNumerically(">=", total/5/2), "%s of %v", customer, s.SentByCustomer)
 	}
 }
 
 // TestALimitThatEndsRisesOrFallsHoldsSoon counts from the answer in which the server said so.
-func TestALimitThatEndsRisesOrFallsHoldsSoon(t *testing.T) {
+func TestLimitChangeTakesEffectWithinOneWindow(t *testing.T) {
 	for _, c := range []struct {
 		name        string
 		before      float64
 		after       ratelimit.Limit
 		least, most float64
 	}{
-		{"ends", 1, ratelimit.Limit{}, 0.8 * 4 * 8 * usualDemand, 4 * 8 * usualDemand * 1.1},
+		{"ends", 1, ratelimit.Limit{}, 0.8 * 4 * 8 * defaultRequestRate, 4 * 8 * defaultRequestRate * 1.1},
 		{"rises", 0.2, ratelimit.Limit{Present: true, PerSecond: 10}, 0.8 * 4 * 10, float64(MaxRequests(10))},
 		{"falls", 40, ratelimit.Limit{Present: true, PerSecond: 1}, 0.8 * 4, float64(MaxRequests(1) - 5)},
 		{"falls to none at all", 40, ratelimit.Limit{Present: true}, 0, float64(MaxRequests(0) - 1)},
@@ -121,7 +121,7 @@
 	}
 }
 
-func TestAServerThatTakesNothingIsStillAsked(t *testing.T) {
+func TestServerWithZeroLimitIsProbed(t *testing.T) {
 	g := NewWithT(t)
 	s := New(5, 3, 1, 0)
 	s.Run(5 * time.Minute)
--- a/standins/loadgen/loadgen.go
+++ b/standins/loadgen/loadgen.go
@@ -73,7 +73,7 @@
 const (
 	kindPlain kind = iota
 	kindStream
-	kindWhole
+	kindCompletion
 )
 
 type operation struct {
@@ -85,11 +85,11 @@
 }
 
 type runner struct {
-	options Options
-	client  *http.Client
-	mu      sync.Mutex
-	report  Report
-	ops     []*operation
+	options    Options
+	client     *http.Client
+	mu         sync.Mutex
+	report     Report
+	operations []*operation
 }
 
 // Run sends the load and checks what came of it.
@@ -102,7 +102,7 @@
 	for running := true; running; {
 		select {
 		case <-ticker.C:
-			group.Go(func() { r.one(ctx) })
+			group.Go(func() { r.runOperation(ctx) })
 		case <-end:
 			running = false
 		case <-ctx.Done():
@@ -123,30 +123,30 @@
 		op.kind = kindStream
 		op.idempotent = true
 	default:
-		op.kind = kindWhole
+		op.kind = kindCompletion
 		op.idempotent = true
 	}
 	return op
 }
 
-func (r *runner) one(ctx context.Context) {
+func (r *runner) runOperation(ctx context.Context) {
 	op := r.newOperation()
 	key := ""
 	if op.keyed {
 		key = uuid.Must(uuid.NewV7()).String()
 	}
 	start := time.Now()
-	for ask := 0; ; ask++ {
+	for attempt := 0; ; attempt++ {
 		op.outcome = r.send(ctx, op, key)
-		again := op.keyed && op.outcome != outcomeAnswered && ask < r.options.MaxRetries
-		if !again {
+		retry := op.keyed && op.outcome != outcomeAnswered && attempt < r.options.MaxRetries
+		if !retry {
 			break
 		}
-		time.Sleep(askAgainPause)
+		time.Sleep(retryDelay)
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.ops = append(r.ops, op)
+	r.operations = append(r.operations, op)
 	r.report.Sent++
 	switch op.outcome {
 	case outcomeAnswered:
@@ -162,28 +162,28 @@
 }
 
 const (
-	outcomeAnswered = "answered"
-	outcomeNotRun   = "not-run"
-	outcomeUnknown  = "unknown"
-	outcomeSilent   = "silent"
-	askAgainPause   = 300 * time.Millisecond
+	outcomeAnswered   = "answered"
+	outcomeNotRun     = "not-run"
+	outcomeUnknown    = "unknown"
+	outcomeNoResponse = "silent"
+	retryDelay        = 300 * time.Millisecond
 )
 
 func (r *runner) send(ctx context.Context, op *operation, key string) string {
-	request, err := r.request(ctx, op, key)
+	request, err := r.newRequest(ctx, op, key)
 	if err != nil {
-		r.wrong(op, err.Error())
-		return outcomeSilent
+		r.recordInvalid(op, err.Error())
+		return outcomeNoResponse
 	}
 	response, err := r.client.Do(request)
-	if refused(err) {
+	if isDialError(err) {
 		// The platform's balancer takes a dead entry out; so do we.
-		time.Sleep(refusedPause)
+		time.Sleep(dialRetryDelay)
 		return r.send(ctx, op, key)
 	}
 	if err != nil {
-		r.note("silent: " + err.Error())
-		return outcomeSilent
+		r.addNote("silent: " + err.Error())
+		return outcomeNoResponse
 	}
 	defer func() { _ = response.Body.Close() }() // read to its end below
 	body, err := io.ReadAll(response.Body)
@@ -192,30 +192,30 @@
 		return r.checkStream(op, string(body), err)
 	}
 	if err != nil {
-		return outcomeSilent
+		return outcomeNoResponse
 	}
 	if outcome == outcomeAnswered && !strings.Contains(string(body), op.name) {
-		r.wrong(op, fmt.Sprintf("answer of another request: status %d %.200s", response.StatusCode, body))
+		r.recordInvalid(op, fmt.Sprintf("answer of another request: status %d %.200s", response.StatusCode, body))
 	}
 	if outcome == "" {
-		r.wrong(op, fmt.Sprintf("no outcome: status %d %.200s", response.StatusCode, body))
+		r.recordInvalid(op, fmt.Sprintf("no outcome: status %d %.200s", response.StatusCode, body))
 		return outcomeUnknown
 	}
 	if outcome != outcomeAnswered {
-		r.note(fmt.Sprintf("%s: %.300s", outcome, body))
+		r.addNote(fmt.Sprintf("%s: %.300s", outcome, body))
 	}
 	return outcome
 }
 
-const refusedPause = 20 * time.Millisecond
+const dialRetryDelay = 20 * time.Millisecond
 
 // refused tells that no connection was made, so nothing was sent.
-func refused(err error) bool {
-	var dial *net.OpError
-	return errors.As(err, &dial) && dial.Op == "dial"
+func isDialError(err error) bool {
+	var opErr *net.OpError
+	return errors.As(err, &opErr) && opErr.Op == "dial"
 }
 
-func (r *runner) request(ctx context.Context, op *operation, key string) (*http.Request, error) {
+func (r *runner) newRequest(ctx context.Context, op *operation, key string) (*http.Request, error) {
 	address := r.options.Entries[rand.IntN(len(r.options.Entries))]
 	path, body := "/v1/chat/completions", fmt.Sprintf(
 		`{"model":"petal-7b","stream":%t,"max_tokens":%d,"messages":[{"role":"user","content":"operation=%s"}]}`,
@@ -242,16 +242,16 @@
 func (r *runner) checkStream(op *operation, body string, err error) string {
 	if err != nil || !strings.HasSuffix(body, "data: [DONE]\n\n") {
 		if err != nil {
-			return outcomeSilent
+			return outcomeNoResponse
 		}
 		if !strings.Contains(body, "event: error") {
-			r.wrong(op, "stream cut without an error event")
+			r.recordInvalid(op, "stream cut without an error event")
 		}
 		return outcomeUnknown
 	}
 	for token := 1; token <= r.options.Tokens; token++ {
 		if strings.Count(body, fmt.Sprintf("%s/%d ", op.name, token)) != 1 {
-			r.wrong(op, fmt.Sprintf("token %d lost or doubled", token))
+			r.recordInvalid(op, fmt.Sprintf("token %d lost or doubled", token))
 			break
 		}
 	}
@@ -260,14 +260,14 @@
 
 const maxNotes = 8
 
-func (r *runner) wrong(op *operation, text string) {
+func (r *runner) recordInvalid(op *operation, text string) {
 	r.mu.Lock()
 	r.report.Invalid++
 	r.mu.Unlock()
-	r.note("wrong: " + op.name + ": " + text)
+	r.addNote("wrong: " + op.name + ": " + text)
 }
 
-func (r *runner) note(text string) {
+func (r *runner) addNote(text string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if len(r.report.Notes) < maxNotes {
@@ -289,18 +289,18 @@
 	if err := json.NewDecoder(response.Body).Decode(&runs); err != nil {
 		return errors.Wrap(err, "runs")
 	}
-	for _, op := range r.ops {
+	for _, op := range r.operations {
 		count := runs[op.name]
 		if !op.idempotent && count > 1 {
 			r.report.Duplicated++
-			r.note(fmt.Sprintf("doubled: %s ran %d times (keyed %t)", op.name, count, op.keyed))
+			r.addNote(fmt.Sprintf("doubled: %s ran %d times (keyed %t)", op.name, count, op.keyed))
 		}
 		if op.outcome == outcomeNotRun && count > 0 {
 			r.report.FalseNotRun++
-			r.note(fmt.Sprintf("untrue: %s was called not run, ran %d times", op.name, count))
+			r.addNote(fmt.Sprintf("untrue: %s was called not run, ran %d times", op.name, count))
 		}
 		if op.outcome == outcomeAnswered && count == 0 {
-			r.wrong(op, "answered, but no server ran it")
+			r.recordInvalid(op, "answered, but no server ran it")
 		}
 	}
 	return nil
--- a/standins/plainserver/plainserver.go
+++ b/standins/plainserver/plainserver.go
@@ -43,93 +43,93 @@
 const ViolationPrefix = "against-word"
 
 // onItsWay is for how long calls may come that were sent before a server asked for rest.
-const onItsWay = 200 * time.Millisecond
+const inFlightGrace = 200 * time.Millisecond
 
 // rest is what a server keeps of the rest that it has asked for.
-type rest struct {
-	mu    sync.Mutex
-	began time.Time
+type restState struct {
+	mu        sync.Mutex
+	startedAt time.Time
 }
 
 // begin starts a rest.
-func (r *rest) begin() {
+func (r *restState) start() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.began = time.Now()
+	r.startedAt = time.Now()
 }
 
 // broken returns when the rest began that a call at this moment breaks; zero when none.
-func (r *rest) broken() time.Time {
+func (r *restState) violation() time.Time {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if since := time.Since(r.began); since <= onItsWay || since >= RestTime {
+	if since := time.Since(r.startedAt); since <= inFlightGrace || since >= RestTime {
 		return time.Time{}
 	}
-	return r.began
+	return r.startedAt
 }
 
 // limit is what a server keeps of a limit that it names.
-type limit struct {
-	mu    sync.Mutex
-	began time.Time
-	calls int
+type limitState struct {
+	mu        sync.Mutex
+	startedAt time.Time
+	calls     int
 }
 
 // begin starts a limit, unless one is in force.
-func (l *limit) begin() {
+func (l *limitState) start() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if time.Since(l.began) >= LimitTime {
-		l.began, l.calls = time.Now(), 0
+	if time.Since(l.startedAt) >= LimitTime {
+		l.startedAt, l.calls = time.Now(), 0
 	}
 }
 
 // named tells whether a limit is in force.
-func (l *limit) named() bool {
+func (l *limitState) active() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return time.Since(l.began) < LimitTime
+	return time.Since(l.startedAt) < LimitTime
 }
 
 // broken counts a call and returns when the limit began that it breaks; zero when none.
-func (l *limit) broken() time.Time {
-	const slack, atOnce = 1.5, 5 // half as much again, and what was on its way
+func (l *limitState) violation() time.Time {
+	const tolerance, burst = 1.5, 5 // half as much again, and what was on its way
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	since := time.Since(l.began)
-	if since <= onItsWay || since >= LimitTime {
+	since := time.Since(l.startedAt)
+	if since <= inFlightGrace || since >= LimitTime {
 		return time.Time{}
 	}
-	if l.calls++; float64(l.calls) <= slack*LimitRate*since.Seconds()+atOnce {
+	if l.calls++; float64(l.calls) <= tolerance*LimitRate*since.Seconds()+burst {
 		return time.Time{}
 	}
-	return l.began
+	return l.startedAt
 }
 
 // Handler returns the service's API: it echoes what it was asked.
 func Handler(options Options) http.Handler {
-	var resting rest
-	var limited limit
+	var resting restState
+	var limited limitState
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		body, err := io.ReadAll(r.Body)
 		if err != nil {
 			http.Error(w, err.Error(), http.StatusBadRequest)
 			return
 		}
-		for _, began := range []time.Time{resting.broken(), limited.broken()} {
-			if !began.IsZero() {
-				options.Recorder.Record(fmt.Sprintf("%s-%s-%d", ViolationPrefix, options.Name, began.UnixMilli()))
+		for _, startedAt := range []time.Time{resting.violation(), limited.violation()} {
+			if !startedAt.IsZero() {
+				options.Recorder.Record(fmt.Sprintf("%s-%s-%d", ViolationPrefix, options.Name, startedAt.UnixMilli()))
 			}
 		}
 		if bytes.Contains(body, []byte(LimitMarker)) {
-			limited.begin()
+			limited.start()
 		}
-		if limited.named() {
+		if limited.active() {
 			w.Header().Set("X-Engine-Limit", strconv.Itoa(LimitRate))
 		}
 		if bytes.Contains(body, []byte(RestMarker)) {
 			w.Header().Set("Retry-After", strconv.FormatFloat(RestTime.Seconds(), 'f', -1, 64))
-			resting.begin()
+			resting.start()
 			w.WriteHeader(http.StatusServiceUnavailable)
 			return
 		}
--- a/standins/platform/backend.go
+++ b/standins/platform/backend.go
@@ -27,11 +27,11 @@
 func BackendHandler(events int) http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc(BackendPlainPath, func(w http.ResponseWriter, r *http.Request) {
-		sign(w, r)
+		setPlatformHeaders(w, r)
 		fmt.Fprint(w, "an answer")
 	})
 	mux.HandleFunc(BackendStreamPath, func(w http.ResponseWriter, r *http.Request) {
-		sign(w, r)
+		setPlatformHeaders(w, r)
 		w.Header().Set("Content-Type", "text/event-stream")
 		stream := http.NewResponseController(w)
 		for id := range events {
@@ -44,7 +44,7 @@
 	return mux
 }
 
-func sign(w http.ResponseWriter, r *http.Request) {
+func setPlatformHeaders(w http.ResponseWriter, r *http.Request) {
 	w.Header().Set(platform.HeaderRequestID, r.Header.Get(platform.HeaderRequestID))
 	w.Header().Set(platform.HeaderSignature, "s")
 }
--- a/standins/platform/restore_test.go
+++ b/standins/platform/restore_test.go
@@ -21,7 +21,7 @@
 )
 
 // clientOf returns a daemon's client of a store.
-func clientOf(t *testing.T, store http.Handler) *platform.Store {
+func newClient(t *testing.T, store http.Handler) *platform.Store {
 	t.Helper()
 	server := httptest.NewServer(store)
 	t.Cleanup(server.CloseClientConnections)
@@ -29,21 +29,21 @@
 }
 
 // cuttable is a store that a daemon can be cut off from.
-type cuttable struct {
+type partitionableStore struct {
 	*Store
-	cut atomic.Bool
+	unreachable atomic.Bool
 }
 
-func (c *cuttable) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	if c.cut.Load() {
+func (c *partitionableStore) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	if c.unreachable.Load() {
 		panic(http.ErrAbortHandler)
 	}
 	c.Store.ServeHTTP(w, r)
 }
 
-func TestFencingTokensRiseAfterTheStoreCameBackOlder(t *testing.T) {
+func TestFencingTokensIncreaseAcrossStoreRestores(t *testing.T) {
 	store := NewStore()
-	client, ctx := clientOf(t, store), context.Background()
+	client, ctx := newClient(t, store), context.Background()
 	known := int64(0)
 	claim := func(holder string) {
 		t.Helper()
@@ -77,9 +77,9 @@
 }
 
 // followed returns a replica that follows the product's configuration on a store.
-func followed(t *testing.T, store http.Handler) (*replica.Replica, platform.ConfigLog) {
+func startReplica(t *testing.T, store http.Handler) (*replica.Replica, platform.ConfigLog) {
 	t.Helper()
-	log := platform.ConfigLog{Store: clientOf(t, store), Now: time.Now}
+	log := platform.ConfigLog{Store: newClient(t, store), Now: time.Now}
 	r := replica.New(time.Now)
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
@@ -122,12 +122,12 @@
 	}
 }
 
-func TestAcknowledgedChangesOutliveTheStoresReturnFromAnOlderCopy(t *testing.T) {
+func TestAcknowledgedChangesSurviveStoreRestore(t *testing.T) {
 	for after := range 4 {
 		t.Run(fmt.Sprint(after, " changes after the return"), func(t *testing.T) {
 			store := NewStore()
-			first, log := followed(t, store)
-			second, _ := followed(t, store)
+			first, log := startReplica(t, store)
+			second, _ := startReplica(t, store)
 			addCustomer(t, log, "a")
 			awaitCustomers(t, first, "a")
 			store.TakeBackup()
@@ -152,65 +152,65 @@
 					t.Fatalf("a change after the return has revision %d, one before it had %d", e, revision)
 				}
 			}
-			fresh, _ := followed(t, store)
+			fresh, _ := startReplica(t, store)
 			awaitCustomers(t, fresh, names...)
-			awaitSame(t, first, second, fresh)
+			awaitEqualState(t, first, second, fresh)
 		})
 	}
 }
 
 // awaitSame waits until replicas have the same state.
-func awaitSame(t *testing.T, replicas ...*replica.Replica) {
+func awaitEqualState(t *testing.T, replicas ...*replica.Replica) {
 	t.Helper()
-	var seen []string
+	var states []string
 	for range 100 {
-		seen = nil
+		states = nil
 		for _, r := range replicas {
-			at, hash := r.Hash()
-			seen = append(seen, at.String()+" "+hash)
+			position, hash := r.Hash()
+			states = append(states, position.String()+" "+hash)
 		}
-		if len(slices.Compact(slices.Clone(seen))) == 1 {
+		if len(slices.Compact(slices.Clone(states))) == 1 {
 			return
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
-	t.Fatalf("the replicas differ: %v", seen)
+	t.Fatalf("the replicas differ: %v", states)
 }
 
-func TestChangeThatOneDaemonAloneKnewIsWrittenAgain(t *testing.T) {
+func TestChangeKnownToOneDaemonIsRewrittenAfterRestore(t *testing.T) {
 	store := NewStore()
-	reach := []*cuttable{{Store: store}, {Store: store}}
-	knowing, log := followed(t, reach[0])
-	other, _ := followed(t, reach[1])
+	stores := []*partitionableStore{{Store: store}, {Store: store}}
+	informed, log := startReplica(t, stores[0])
+	other, _ := startReplica(t, stores[1])
 	addCustomer(t, log, "a")
 	awaitCustomers(t, other, "a")
 	store.TakeBackup()
 	addCustomer(t, log, "b")
 	awaitCustomers(t, other, "b")
-	reach[1].cut.Store(true)
+	stores[1].unreachable.Store(true)
 	time.Sleep(1100 * time.Millisecond) // a read that waits is over
 	addCustomer(t, log, "c")
-	awaitCustomers(t, knowing, "c")
+	awaitCustomers(t, informed, "c")
 
-	reach[0].cut.Store(true)
+	stores[0].unreachable.Store(true)
 	store.RestoreBackup()
-	reach[1].cut.Store(false)
+	stores[1].unreachable.Store(false)
 	awaitRestored(t, store)
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
 		for range 400 {
-			if knowing.View().Get(config.KindCustomer, "c") == nil {
+			if informed.View().Get(config.KindCustomer, "c") == nil {
 				t.Error("a change that was in force is no longer")
 				return
 			}
 			time.Sleep(5 * time.Millisecond)
 		}
 	}()
-	reach[0].cut.Store(false)
+	stores[0].unreachable.Store(false)
 	awaitCustomers(t, other, "a", "b", "c")
 	<-done
-	awaitSame(t, knowing, other)
+	awaitEqualState(t, informed, other)
 }
 
 // awaitRestored waits until a state has been carried over.
--- a/standins/platform/server.go
+++ b/standins/platform/server.go
@@ -15,19 +15,19 @@
 type Server struct {
 	store *Store
 
-	mu   sync.Mutex
-	cut  map[string]bool
-	runs map[string]int // executions by operation
+	mu          sync.Mutex
+	unreachable map[string]bool
+	runs        map[string]int // executions by operation
 }
 
 // NewServer returns a server with an empty store.
 func NewServer() *Server {
-	return &Server{store: NewStore(), cut: map[string]bool{}, runs: map[string]int{}}
+	return &Server{store: NewStore(), unreachable: map[string]bool{}, runs: map[string]int{}}
 }
 
 // Serve answers the daemons of one zone on the listener.
 func (s *Server) Serve(listener net.Listener, zone string) error {
-	server := &http.Server{Handler: s.unlessCut(zone, s.store), ReadHeaderTimeout: time.Second}
+	server := &http.Server{Handler: s.abortIfUnreachable(zone, s.store), ReadHeaderTimeout: time.Second}
 	return server.Serve(listener)
 }
 
@@ -38,20 +38,20 @@
 	mux.HandleFunc("PUT /fault/log", s.setFaults)
 	mux.HandleFunc("PUT /fault/log/copy", func(http.ResponseWriter, *http.Request) { s.store.TakeBackup() })
 	mux.HandleFunc("PUT /fault/log/return", func(http.ResponseWriter, *http.Request) { s.store.RestoreBackup() })
-	mux.HandleFunc("PUT /fault/cut/{zone}/{on}", s.setCut)
-	mux.HandleFunc("PUT /fault/server/{name}/{state}", s.setVM)
-	mux.HandleFunc("POST /runs/{operation}", s.addRun)
+	mux.HandleFunc("PUT /fault/cut/{zone}/{on}", s.setUnreachable)
+	mux.HandleFunc("PUT /fault/server/{name}/{state}", s.setServerState)
+	mux.HandleFunc("POST /runs/{operation}", s.recordRun)
 	mux.HandleFunc("GET /runs", s.getRuns)
 	server := &http.Server{Handler: mux, ReadHeaderTimeout: time.Second}
 	return server.Serve(listener)
 }
 
-func (s *Server) unlessCut(zone string, next http.Handler) http.Handler {
+func (s *Server) abortIfUnreachable(zone string, next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		s.mu.Lock()
-		cut := s.cut[zone]
+		unreachable := s.unreachable[zone]
 		s.mu.Unlock()
-		if cut {
+		if unreachable {
 			panic(http.ErrAbortHandler)
 		}
 		next.ServeHTTP(w, r)
@@ -59,10 +59,10 @@
 }
 
 // registered are the states that servers register, by what scripts call them.
-var registered = map[string]string{"live": "ready", "leaving": "draining"}
+var registeredStates = map[string]string{"live": "ready", "leaving": "draining"}
 
-func (s *Server) setVM(w http.ResponseWriter, r *http.Request) {
-	value, err := json.Marshal(map[string]string{"state": registered[r.PathValue("state")]})
+func (s *Server) setServerState(w http.ResponseWriter, r *http.Request) {
+	value, err := json.Marshal(map[string]string{"state": registeredStates[r.PathValue("state")]})
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusInternalServerError)
 		return
@@ -79,13 +79,13 @@
 	s.store.SetFaults(faults)
 }
 
-func (s *Server) setCut(_ http.ResponseWriter, r *http.Request) {
+func (s *Server) setUnreachable(_ http.ResponseWriter, r *http.Request) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.cut[r.PathValue("zone")] = r.PathValue("on") == "true"
+	s.unreachable[r.PathValue("zone")] = r.PathValue("on") == "true"
 }
 
-func (s *Server) addRun(_ http.ResponseWriter, r *http.Request) {
+func (s *Server) recordRun(_ http.ResponseWriter, r *http.Request) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.runs[r.PathValue("operation")]++
--- a/standins/platform/snapshot_test.go
+++ b/standins/platform/snapshot_test.go
@@ -15,25 +15,25 @@
 )
 
 // keptLog is the product's log on a fresh stand-in.
-func keptLog(t *testing.T, before func(http.Handler) http.Handler) platform.ConfigLog {
+func newConfigLog(t *testing.T, wrap func(http.Handler) http.Handler) platform.ConfigLog {
 	t.Helper()
-	server := httptest.NewServer(before(NewStore()))
+	server := httptest.NewServer(wrap(NewStore()))
 	t.Cleanup(server.Close)
 	store := platform.NewStore(strings.TrimPrefix(server.URL, "http://"), http.DefaultTransport)
 	return platform.ConfigLog{Store: store, Now: time.Now}
 }
 
-func unchanged(h http.Handler) http.Handler { return h }
+func passThrough(h http.Handler) http.Handler { return h }
 
 // snapshotOf returns bytes that are like no others.
-func snapshotOf(size int) []byte {
+func randomSnapshot(size int) []byte {
 	data := make([]byte, size)
 	random := rand.NewChaCha8([32]byte{byte(size)})
 	_, _ = random.Read(data) // it never fails
 	return data
 }
 
-func wantKept(t *testing.T, log platform.ConfigLog, want []byte) {
+func requireSnapshot(t *testing.T, log platform.ConfigLog, want []byte) {
 	t.Helper()
 	got, err := log.LoadSnapshot(context.Background())
 	if err != nil {
@@ -46,10 +46,10 @@
 
 // TestKeptStateIsTheNewest: what was kept comes back whole, in however many
 // parts, and an older state never replaces a newer one.
-func TestKeptStateIsTheNewest(t *testing.T) {
-	log, ctx := keptLog(t, unchanged), context.Background()
-	wantKept(t, log, nil)
-	large, small := snapshotOf(700<<10), snapshotOf(10)
+func TestOlderSnapshotNeverReplacesNewer(t *testing.T) {
+	log, ctx := newConfigLog(t, passThrough), context.Background()
+	requireSnapshot(t, log, nil)
+	large, small := randomSnapshot(700<<10), randomSnapshot(10)
 	for _, step := range []struct {
 		offset   storelog.Position
 		snapshot []byte
@@ -58,35 +58,35 @@
 		if err := log.SaveSnapshot(ctx, step.offset, step.snapshot); err != nil {
 			t.Fatal(err)
 		}
-		wantKept(t, log, step.want)
+		requireSnapshot(t, log, step.want)
 	}
 }
 
 // TestKeptStateIsWhole: a writer that another one has overtaken writes nothing, and
 // parts that don't belong together are never taken for a state.
-func TestKeptStateIsWhole(t *testing.T) {
+func TestConcurrentSnapshotsAreNeverMixed(t *testing.T) {
 	ctx := context.Background()
-	overtaken := false
+	interleaved := false
 	var log platform.ConfigLog
-	log = keptLog(t, func(next http.Handler) http.Handler {
+	log = newConfigLog(t, func(next http.Handler) http.Handler {
 		return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-			if r.Method == http.MethodPost && !overtaken {
-				overtaken = true
-				if err := log.SaveSnapshot(ctx, 8, snapshotOf(30)); err != nil {
+			if r.Method == http.MethodPost && !interleaved {
+				interleaved = true
+				if err := log.SaveSnapshot(ctx, 8, randomSnapshot(30)); err != nil {
 					t.Error(err)
 				}
 			}
 			next.ServeHTTP(w, r)
 		})
 	})
-	if err := log.SaveSnapshot(ctx, 6, snapshotOf(20)); err == nil {
+	if err := log.SaveSnapshot(ctx, 6, randomSnapshot(20)); err == nil {
 		t.Fatal("a state was kept over one that came meanwhile")
 	}
-	wantKept(t, log, snapshotOf(30))
+	requireSnapshot(t, log, randomSnapshot(30))
 
 	store := NewStore()
-	mixed := keptLog(t, func(http.Handler) http.Handler { return store })
-	if err := mixed.SaveSnapshot(ctx, 6, snapshotOf(20)); err != nil {
+	mixed := newConfigLog(t, func(http.Handler) http.Handler { return store })
+	if err := mixed.SaveSnapshot(ctx, 6, randomSnapshot(20)); err != nil {
 		t.Fatal(err)
 	}
 	store.Put("keyed.configuration", "part-0000", "another's")
--- a/standins/platform/store.go
+++ b/standins/platform/store.go
@@ -22,13 +22,13 @@
 // Store keeps topics of one partition each, in memory. It implements
 // http.Handler. Safe for concurrent use.
 type Store struct {
-	mu     sync.Mutex
-	topics map[string]*topic
-	grown  chan struct{}
-	faults Faults
+	mu      sync.Mutex
+	topics  map[string]*topic
+	changed chan struct{}
+	faults  Faults
 	// era rises with each return from copied, which has the topics as they were then.
 	era    int64
-	copied map[string]*topic
+	backup map[string]*topic
 }
 
 // topic is a log whose oldest records may have been dropped.
@@ -66,7 +66,7 @@
 
 // NewStore returns an empty store.
 func NewStore() *Store {
-	return &Store{topics: map[string]*topic{}, grown: make(chan struct{}), era: firstEra}
+	return &Store{topics: map[string]*topic{}, changed: make(chan struct{}), era: firstEra}
 }
 
 const firstEra = 1
@@ -75,7 +75,7 @@
 func (s *Store) TakeBackup() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.copied = cloneTopics(s.topics)
+	s.backup = cloneTopics(s.topics)
 }
 
 // Return makes the store come back as it was at Copy, in the next era. Reads that wait
@@ -83,7 +83,7 @@
 func (s *Store) RestoreBackup() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.topics = cloneTopics(s.copied)
+	s.topics = cloneTopics(s.backup)
 	s.era++
 }
 
@@ -96,7 +96,7 @@
 }
 
 // lock takes the lock and names the era in an answer that is given under it.
-func (s *Store) lock(w http.ResponseWriter) (era int64) {
+func (s *Store) lockWithEra(w http.ResponseWriter) (era int64) {
 	s.mu.Lock()
 	if !s.faults.OmitEra {
 		w.Header().Set(platform.HeaderEra, strconv.FormatInt(s.era, 10))
@@ -110,17 +110,17 @@
 	defer s.mu.Unlock()
 	s.faults = faults
 	for _, t := range s.topics {
-		s.drop(t)
+		s.trim(t)
 	}
-	close(s.grown) // reads that wait are refused if it's down now
-	s.grown = make(chan struct{})
+	close(s.changed) // reads that wait are refused if it's down now
+	s.changed = make(chan struct{})
 }
 
 // Put writes a record of a keyed topic, as operators and servers do.
 func (s *Store) Put(name, key, value string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.add(name, append([]byte{byte(len(key))}, key+value...))
+	s.appendRecord(name, append([]byte{byte(len(key))}, key+value...))
 }
 
 // Compact drops all records of a topic but the newest of each key, as the platform does at
@@ -130,8 +130,8 @@
 	defer s.mu.Unlock()
 	t := s.topic(name)
 	t.first, t.records = t.end(), nil
-	close(s.grown)
-	s.grown = make(chan struct{})
+	close(s.changed)
+	s.changed = make(chan struct{})
 }
 
 // Records returns the records that a topic keeps.
@@ -152,14 +152,14 @@
 
 const (
 	// maxRecord and maxCall bound an append, in bytes, as the users' platform does.
-	maxRecord = 256 << 10
-	maxCall   = 2 << 20
+	maxRecordBytes = 256 << 10
+	maxAppendBytes = 2 << 20
 )
 
 // keyedPrefix begins the names of topics whose records have keys.
 const keyedPrefix = "keyed."
 
-func (s *Store) add(name string, record []byte) {
+func (s *Store) appendRecord(name string, record []byte) {
 	t := s.topic(name)
 	if strings.HasPrefix(name, keyedPrefix) {
 		key, value := string(record[1:1+record[0]]), record[1+record[0]:]
@@ -169,21 +169,21 @@
 		}
 	}
 	t.records = append(t.records, record)
-	s.drop(t)
-	close(s.grown)
-	s.grown = make(chan struct{})
+	s.trim(t)
+	close(s.changed)
+	s.changed = make(chan struct{})
 }
 
-func (s *Store) drop(t *topic) {
-	if over := len(t.records) - s.faults.MaxRecords; s.faults.MaxRecords > 0 && over > 0 {
-		t.first += int64(over)
-		t.records = slices.Clone(t.records[over:])
+func (s *Store) trim(t *topic) {
+	if excess := len(t.records) - s.faults.MaxRecords; s.faults.MaxRecords > 0 && excess > 0 {
+		t.first += int64(excess)
+		t.records = slices.Clone(t.records[excess:])
 	}
 }
 
 // ServeHTTP implements http.Handler.
 func (s *Store) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	s.lock(w)
+	s.lockWithEra(w)
 	faults := s.faults
 	s.mu.Unlock()
 	time.Sleep(time.Duration(faults.DelayMs) * time.Millisecond)
@@ -204,14 +204,14 @@
 }
 
 // split reads records with their lengths.
-func split(body []byte) (records [][]byte, ok bool) {
+func splitRecords(body []byte) (records [][]byte, ok bool) {
 	for len(body) > 0 {
 		if len(body) < platform.LengthBytes {
 			return nil, false
 		}
 		size := int(binary.BigEndian.Uint32(body))
 		body = body[platform.LengthBytes:]
-		if size > len(body) || size > maxRecord {
+		if size > len(body) || size > maxRecordBytes {
 			return nil, false
 		}
 		records = append(records, body[:size])
@@ -223,12 +223,12 @@
 // serveAppend takes records, all or none.
 func (s *Store) serveAppend(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(r.Body)
-	records, ok := split(body)
-	if err != nil || !ok || len(body) > maxCall {
+	records, ok := splitRecords(body)
+	if err != nil || !ok || len(body) > maxAppendBytes {
 		http.Error(w, "records with their lengths, within the bounds of size", http.StatusBadRequest)
 		return
 	}
-	s.lock(w)
+	s.lockWithEra(w)
 	defer s.mu.Unlock()
 	name := r.URL.Query().Get("topic")
 	end := s.topic(name).end()
@@ -238,7 +238,7 @@
 		return
 	}
 	for _, record := range records {
-		s.add(name, record)
+		s.appendRecord(name, record)
 	}
 	if s.faults.LoseResponses {
 		panic(http.ErrAbortHandler)
@@ -256,19 +256,19 @@
 	}
 	waitMs, _ := strconv.ParseInt(query.Get("wait_ms"), 10, 64) // missing: don't wait
 	timeout := time.After(time.Duration(waitMs) * time.Millisecond)
-	deaf, begun := s.state()
+	stalled, startEra := s.readState()
 	for {
-		grown, era, answered := s.readNow(w, query.Get("topic"), from, waitMs <= 0, begun)
-		if answered {
+		changed, era, done := s.tryRead(w, query.Get("topic"), from, waitMs <= 0, startEra)
+		if done {
 			return
 		}
-		if deaf || era != begun {
-			grown = nil
+		if stalled || era != startEra {
+			changed = nil
 		}
 		select {
-		case <-grown:
+		case <-changed:
 		case <-timeout:
-			if era != begun {
+			if era != startEra {
 				panic(http.ErrAbortHandler)
 			}
 			waitMs = 0
@@ -279,7 +279,7 @@
 }
 
 // state returns what a read that begins goes by.
-func (s *Store) state() (deaf bool, era int64) {
+func (s *Store) readState() (stalled bool, era int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.faults.StallReads, s.era
@@ -287,10 +287,10 @@
 
 // readNow answers a read if there is a record, or at any rate; never one that began in
 // another era.
-func (s *Store) readNow(w http.ResponseWriter, name string, from int64, atAnyRate bool, begun int64) (<-chan struct{}, int64, bool) {
-	era := s.lock(w)
+func (s *Store) tryRead(w http.ResponseWriter, name string, from int64, allowEmpty bool, startEra int64) (<-chan struct{}, int64, bool) {
+	era := s.lockWithEra(w)
 	defer s.mu.Unlock()
-	if era != begun {
+	if era != startEra {
 		return nil, era, false
 	}
 	t := s.topic(name)
@@ -300,8 +300,8 @@
 	case from < t.first || from > t.end():
 		w.WriteHeader(http.StatusGone)
 		writeJSON(w, map[string]int64{"first": t.first})
-	case from >= t.end() && !atAnyRate:
-		return s.grown, era, false
+	case from >= t.end() && !allowEmpty:
+		return s.changed, era, false
 	default:
 		_, _ = w.Write(t.encode(from)) // the reader is gone
 	}
@@ -309,7 +309,7 @@
 }
 
 // maxRead bounds the records in one answer.
-const maxRead = 1000
+const maxReadRecords = 1000
 
 func (t *topic) encode(from int64) []byte {
 	data := binary.BigEndian.AppendUint64(nil, uint64(t.end()))
@@ -318,7 +318,7 @@
 		return data
 	}
 	records := t.records[from-t.first:]
-	for _, record := range records[:min(len(records), maxRead)] {
+	for _, record := range records[:min(len(records), maxReadRecords)] {
 		data = binary.BigEndian.AppendUint32(data, uint32(len(record)))
 		data = append(data, record...)
 	}
@@ -327,7 +327,7 @@
 
 // serveNewest answers with the newest record of each key, in one page.
 func (s *Store) serveNewest(w http.ResponseWriter, r *http.Request) {
-	s.lock(w)
+	s.lockWithEra(w)
 	defer s.mu.Unlock()
 	t := s.topic(r.URL.Query().Get("topic"))
 	items := []item{}
--- a/standins/popularitytrace/popularitytrace.go
+++ b/standins/popularitytrace/popularitytrace.go
@@ -31,33 +31,33 @@
 }
 
 // peakShare is one expert in this many that the holiday favours.
-const peakShare = 24
+const peakExpertEvery = 24
 
 // Trace generates one interval after the other.
 type Trace struct {
-	options Options
-	random  *rand.Rand
-	logs    rebalance.Popularity // base and drift
-	phases  rebalance.Popularity
-	peaks   [][]bool
-	at      int
+	options       Options
+	random        *rand.Rand
+	logPopularity rebalance.Popularity // base and drift
+	seasonPhase   rebalance.Popularity
+	peakExperts   [][]bool
+	interval      int
 }
 
 // New returns a trace at its first interval.
 func New(options Options) *Trace {
 	t := &Trace{
-		options: options,
-		random:  rand.New(rand.NewPCG(options.Seed, 1)),
-		logs:    rebalance.NewPopularity(options.Shape),
-		phases:  rebalance.NewPopularity(options.Shape),
-		peaks:   make([][]bool, options.Shape.Layers),
+		options:       options,
+		random:        rand.New(rand.NewPCG(options.Seed, 1)),
+		logPopularity: rebalance.NewPopularity(options.Shape),
+		seasonPhase:   rebalance.NewPopularity(options.Shape),
+		peakExperts:   make([][]bool, options.Shape.Layers),
 	}
-	for layer := range t.logs {
-		t.peaks[layer] = make([]bool, options.Shape.Experts)
-		for place, expert := range t.random.Perm(options.Shape.Experts) {
-			t.logs[layer][expert] = -options.ZipfExponent * math.Log(float64(place+4))
-			t.phases[layer][expert] = t.random.Float64() * 2 * math.Pi
-			t.peaks[layer][expert] = t.random.IntN(peakShare) == 0
+	for layer := range t.logPopularity {
+		t.peakExperts[layer] = make([]bool, options.Shape.Experts)
+		for position, expert := range t.random.Perm(options.Shape.Experts) {
+			t.logPopularity[layer][expert] = -options.ZipfExponent * math.Log(float64(position+4))
+			t.seasonPhase[layer][expert] = t.random.Float64() * 2 * math.Pi
+			t.peakExperts[layer][expert] = t.random.IntN(peakExpertEvery) == 0
 		}
 	}
 	return t
@@ -67,19 +67,19 @@
 func (t *Trace) Next() (truth, measured rebalance.Popularity) {
 	o := t.options
 	truth, measured = rebalance.NewPopularity(o.Shape), rebalance.NewPopularity(o.Shape)
-	season := 2 * math.Pi * float64(t.at) / float64(o.IntervalsPerDay)
-	peak := t.at >= o.PeakAt && t.at < o.PeakAt+o.PeakLength
+	season := 2 * math.Pi * float64(t.interval) / float64(o.IntervalsPerDay)
+	peak := t.interval >= o.PeakAt && t.interval < o.PeakAt+o.PeakLength
 	for layer := range truth {
 		for expert := range truth[layer] {
-			t.logs[layer][expert] += o.DriftStep * t.random.NormFloat64()
-			value := math.Exp(t.logs[layer][expert] + o.SeasonAmplitude*math.Sin(season+t.phases[layer][expert]))
-			if peak && t.peaks[layer][expert] {
+			t.logPopularity[layer][expert] += o.DriftStep * t.random.NormFloat64()
+			value := math.Exp(t.logPopularity[layer][expert] + o.SeasonAmplitude*math.Sin(season+t.seasonPhase[layer][expert]))
+			if peak && t.peakExperts[layer][expert] {
 				value *= o.PeakFactor
 			}
 			truth[layer][expert] = value
 			measured[layer][expert] = value * max(0, 1+o.Noise*t.random.NormFloat64())
 		}
 	}
-	t.at++
+	t.interval++
 	return truth, measured
 }
--- a/standins/runreport/render.go
+++ b/standins/runreport/render.go
@@ -20,24 +20,24 @@
 }
 
 // shownPrices is how many of the largest prices a row shows.
-const shownPrices = 3
+const maxPenaltiesShown = 3
 
 // Table writes a row a set: where its callers lost what they were owed.
-func WriteTable(w io.Writer, sets []Series) error {
+func WriteTable(w io.Writer, series []Series) error {
 	if _, err := fmt.Fprintln(w, "| days | plays | worth | in time, late, refused, failed, % | largest prices |\n| --- | --- | --- | --- | --- |"); err != nil {
 		return errors.Wrap(err, "table")
 	}
-	for _, set := range sets {
-		mean := Mean(set.Reports)
-		prices := slices.Clone(mean.Penalties)
-		slices.SortStableFunc(prices, func(a, b Penalty) int { return cmp.Compare(b.Score, a.Score) })
-		shown := ""
-		for _, price := range prices[:min(shownPrices, len(prices))] {
-			shown += fmt.Sprintf("%s %.3f; ", price.Cause, price.Score)
+	for _, s := range series {
+		mean := Mean(s.Reports)
+		penalties := slices.Clone(mean.Penalties)
+		slices.SortStableFunc(penalties, func(a, b Penalty) int { return cmp.Compare(b.Score, a.Score) })
+		largest := ""
+		for _, penalty := range penalties[:min(maxPenaltiesShown, len(penalties))] {
+			largest += fmt.Sprintf("%s %.3f; ", penalty.Cause, penalty.Score)
 		}
-		whole, owed := mean.Total, max(mean.Total.Expected, 1)/100
-		if _, err := fmt.Fprintf(w, "| %s | %d | %.3f | %.0f, %.0f, %.0f, %.0f | %s|\n", set.Name, len(set.Reports), mean.Score,
-			whole.OnTime/owed, whole.Late/owed, whole.Refused/owed, whole.Failed/owed, shown); err != nil {
+		total, onePercent := mean.Total, max(mean.Total.Expected, 1)/100
+		if _, err := fmt.Fprintf(w, "| %s | %d | %.3f | %.0f, %.0f, %.0f, %.0f | %s|\n", s.Name, len(s.Reports), mean.Score,
+			total.OnTime/onePercent, total.Late/onePercent, total.Refused/onePercent, total.Failed/onePercent, largest); err != nil {
 			return errors.Wrap(err, "table")
 		}
 	}
@@ -51,18 +51,18 @@
 )
 
 // Plot draws the credit by second of each set into a file, whose ending gives the format.
-func WritePlot(path, title string, sets []Series) error {
+func WritePlot(path, title string, series []Series) error {
 	p := plot.New()
 	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = title, "first sent at, s", "credit earned of owed"
 	p.Y.Min, p.Y.Max = 0, 1
 	p.Legend.Top = false
 	var lines []any
-	for _, set := range sets {
+	for _, s := range series {
 		points := plotter.XYs{}
-		for _, w := range Mean(set.Reports).Windows {
+		for _, w := range Mean(s.Reports).Windows {
 			points = append(points, plotter.XY{X: w.Start, Y: w.Score})
 		}
-		lines = append(lines, set.Name, points)
+		lines = append(lines, s.Name, points)
 	}
 	if err := plotutil.AddLinePoints(p, lines...); err != nil {
 		return errors.Wrap(err, "plot")
--- a/standins/runreport/runreport.go
+++ b/standins/runreport/runreport.go
@@ -47,7 +47,7 @@
 	Worth   float64 `json:"worth"`
 }
 
-func (c countsRecord) window() Window {
+func (c countsRecord) toWindow() Window {
 	return Window{
 		Expected: c.N - c.NotOwed, OnTime: c.InAim, Late: c.Late, Refused: c.Refused, Failed: c.Failed, Score: c.Worth,
 	}
@@ -76,37 +76,37 @@
 	if err := json.Unmarshal(data, &record); err != nil {
 		return nil, errors.WithStack(err)
 	}
-	report := &Report{Score: record.Worth, Total: record.All.window()}
+	report := &Report{Score: record.Worth, Total: record.All.toWindow()}
 	for _, w := range record.Windows {
 		from, err := strconv.ParseFloat(w.Name, 64)
 		if err != nil {
 			return nil, errors.Wrap(err, "windows: name: use the first second")
 		}
-		window := w.window()
+		window := w.toWindow()
 		window.Start = from
 		report.Windows = append(report.Windows, window)
 	}
 	for _, row := range record.Prices {
-		price, err := decodePrice(row)
+		penalty, err := decodePenalty(row)
 		if err != nil {
 			return nil, err
 		}
-		report.Penalties = append(report.Penalties, price)
+		report.Penalties = append(report.Penalties, penalty)
 	}
 	return report, nil
 }
 
 // decodePrice reads a row of a cause, its amount, and its price in worth.
-func decodePrice(row []json.RawMessage) (Penalty, error) {
+func decodePenalty(row []json.RawMessage) (Penalty, error) {
 	const columns = 3
-	var price Penalty
+	var penalty Penalty
 	if len(row) != columns {
-		return price, errors.Errorf("prices: a row has %d columns, want %d", len(row), columns)
+		return penalty, errors.Errorf("prices: a row has %d columns, want %d", len(row), columns)
 	}
-	if err := json.Unmarshal(row[0], &price.Cause); err != nil {
-		return price, errors.Wrap(err, "prices: cause")
+	if err := json.Unmarshal(row[0], &penalty.Cause); err != nil {
+		return penalty, errors.Wrap(err, "prices: cause")
 	}
-	return price, errors.Wrap(json.Unmarshal(row[columns-1], &price.Score), "prices: worth")
+	return penalty, errors.Wrap(json.Unmarshal(row[columns-1], &penalty.Score), "prices: worth")
 }
 
 // Mean returns the mean of several plays of a day: the same seconds, other seeds.
@@ -115,35 +115,35 @@
 	if len(reports) == 0 {
 		return mean
 	}
-	part := 1 / float64(len(reports))
-	prices := map[string]int{}
+	weight := 1 / float64(len(reports))
+	indexByCause := map[string]int{}
 	for _, r := range reports {
-		mean.Score += part * r.Score
-		mean.Total.add(r.Total, part)
+		mean.Score += weight * r.Score
+		mean.Total.addWeighted(r.Total, weight)
 		for i, w := range r.Windows {
 			if i == len(mean.Windows) {
 				mean.Windows = append(mean.Windows, Window{Start: w.Start})
 			}
-			mean.Windows[i].add(w, part)
+			mean.Windows[i].addWeighted(w, weight)
 		}
-		for _, price := range r.Penalties {
-			at, known := prices[price.Cause]
+		for _, penalty := range r.Penalties {
+			index, known := indexByCause[penalty.Cause]
 			if !known {
-				at = len(mean.Penalties)
-				prices[price.Cause] = at
-				mean.Penalties = append(mean.Penalties, Penalty{Cause: price.Cause})
+				index = len(mean.Penalties)
+				indexByCause[penalty.Cause] = index
+				mean.Penalties = append(mean.Penalties, Penalty{Cause: penalty.Cause})
 			}
-			mean.Penalties[at].Score += part * price.Score
+			mean.Penalties[index].Score += weight * penalty.Score
 		}
 	}
 	return mean
 }
 
-func (w *Window) add(other Window, part float64) {
-	w.Expected += part * other.Expected
-	w.OnTime += part * other.OnTime
-	w.Late += part * other.Late
-	w.Refused += part * other.Refused
-	w.Failed += part * other.Failed
-	w.Score += part * other.Score
+func (w *Window) addWeighted(other Window, weight float64) {
+	w.Expected += weight * other.Expected
+	w.OnTime += weight * other.OnTime
+	w.Late += weight * other.Late
+	w.Refused += weight * other.Refused
+	w.Failed += weight * other.Failed
+	w.Score += weight * other.Score
 }
--- a/standins/runreport/runreport_test.go
+++ b/standins/runreport/runreport_test.go
@@ -19,25 +19,25 @@
 	return r
 }
 
-func TestATableOfSeveralPlays(t *testing.T) {
+func TestTableAveragesRuns(t *testing.T) {
 	g := NewWithT(t)
-	set := Series{Name: "loaded", Reports: []*Report{decode(g, "0.4", "0.2"), decode(g, "0.6", "0.4")}}
-	g.Expect(Mean(set.Reports).Windows[1].Score).To(BeNumerically("~", 0.3, 1e-9))
+	series := Series{Name: "loaded", Reports: []*Report{decode(g, "0.4", "0.2"), decode(g, "0.6", "0.4")}}
+	g.Expect(Mean(series.Reports).Windows[1].Score).To(BeNumerically("~", 0.3, 1e-9))
 	var table strings.Builder
-	g.Expect(WriteTable(&table, []Series{set})).To(Succeed())
+	g.Expect(WriteTable(&table, []Series{series})).To(Succeed())
 	g.Expect(table.String()).To(ContainSubstring("| loaded | 2 | 0.500 | 63, 21, 11, 5 | worth refused again 0.040; machine-seconds 0.020; |"))
 }
 
-func TestAPlotIsDrawn(t *testing.T) {
+func TestPlotContainsSeriesNames(t *testing.T) {
 	g := NewWithT(t)
 	path := filepath.Join(t.TempDir(), "credit.svg")
 	g.Expect(WritePlot(path, "loaded", []Series{{Name: "before", Reports: []*Report{decode(g, "0.4", "0.2")}}})).To(Succeed())
-	drawn, err := os.ReadFile(path)
+	content, err := os.ReadFile(path)
 	g.Expect(err).NotTo(HaveOccurred())
-	g.Expect(string(drawn)).To(ContainSubstring("before"))
+	g.Expect(string(content)).To(ContainSubstring("before"))
 }
 
-func TestABadReportNamesWhatIsWrong(t *testing.T) {
+func TestDecodeErrorNamesField(t *testing.T) {
 	g := NewWithT(t)
 	_, err := Decode([]byte(`{"prices":[["a"]]}`))
 	g.Expect(err).To(MatchError(ContainSubstring("prices: a row has 1 columns")))
