--- a/standins/engine/engine.go
+++ b/standins/engine/engine.go
@@ -1,6 +1,6 @@
-// Package engine is a small stand-in for a model engine: it batches
-// continuously, streams tokens, resumes and cancels streams, caches prefixes,
-// and counts every execution.
+// Package engine is a test double of a model engine: it batches continuously, streams
+// tokens, resumes and cancels streams, and counts every execution. It also simulates groups
+// of engines that run in lock-step.
 package engine
 
 import (
@@ -17,26 +17,26 @@
 	"github.com/pkg/errors"
 )
 
-// Options are the stand-in's settings.
+// Options configure an Engine.
 type Options struct {
-	// Name is told in each answer.
+	// Name is returned in each response.
 	Name string
-	// Step is the time of one step with an empty batch.
+	// StepTime is the duration of a step at a batch of up to BatchSize requests.
 	StepTime time.Duration
-	// Batch is the number of requests that a step carries without slowing down.
+	// BatchSize is the number of requests that a step processes without slowing down.
 	BatchSize int
 	// Recorder counts executions.
 	Recorder *Recorder
 }
 
-// Engine is the stand-in.
+// Engine simulates a model engine.
 type Engine struct {
 	options   Options
 	active    atomic.Int64
-	cancelled atomic.Int64 // streams ended by their reader
+	cancelled atomic.Int64 // requests whose caller disconnected
 }
 
-// New returns an engine.
+// New returns an Engine.
 func New(options Options) *Engine { return &Engine{options: options} }
 
 type completionRequest struct {
@@ -92,7 +92,7 @@
 		request.Model, e.options.Name, operation, request.MaxTokens)
 }
 
-// step waits for one step of the batch; false means that the reader left.
+// awaitStep waits for one step of the batch. It returns false if the caller disconnected.
 func (e *Engine) awaitStep(r *http.Request) bool {
 	load := max(float64(e.active.Load())/float64(e.options.BatchSize), 1)
 	timer := time.NewTimer(time.Duration(float64(e.options.StepTime) * load))
@@ -106,8 +106,8 @@
 	}
 }
 
-// stream sends one event a token, its offset as the event's ID, and resumes
-// after Last-Event-ID.
+// serveStream sends one event per token, with the token's number as the event ID, and
+// resumes after Last-Event-ID.
 func (e *Engine) serveStream(w http.ResponseWriter, r *http.Request, request completionRequest, operation string) {
 	w.Header().Set("Content-Type", "text/event-stream")
 	controller := http.NewResponseController(w)
@@ -128,11 +128,11 @@
 	_, _ = fmt.Fprint(w, "data: [DONE]\n\n")
 }
 
-// operationMark starts the operation's name in a body; the load tool puts one
-// into each request, so that executions can be counted and answers matched.
+// operationPrefix precedes the operation's name in a body. The load generator puts a unique
+// name into each request, to count executions and to match responses.
 const operationPrefix = "operation="
 
-// Operation returns the operation named in a body, or "unnamed".
+// OperationName returns the name of the operation in a body, or "unnamed".
 func OperationName(body []byte) string {
 	_, rest, found := strings.Cut(string(body), operationPrefix)
 	if !found {
@@ -147,10 +147,10 @@
 	return rest[:end]
 }
 
-// Recorder tells the platform stand-in of each execution before it happens, so
-// that the count survives the server's death.
+// Recorder reports each execution to the platform double before it starts, so that the
+// count survives a crash of the server.
 type Recorder struct {
-	// URL of the platform stand-in's control port; empty counts nothing.
+	// URL is that of the platform double's control port. If empty, nothing is recorded.
 	URL string
 
 	client   http.Client
@@ -158,20 +158,20 @@
 	failures int
 }
 
-// Record counts one execution.
-func (c *Recorder) Record(operation string) {
-	if c.URL == "" {
+// Record records one execution of an operation.
+func (r *Recorder) Record(operation string) {
+	if r.URL == "" {
 		return
 	}
-	if err := c.post(operation); err != nil {
-		c.mu.Lock()
-		defer c.mu.Unlock()
-		c.failures++
+	if err := r.post(operation); err != nil {
+		r.mu.Lock()
+		defer r.mu.Unlock()
+		r.failures++
 	}
 }
 
-func (c *Recorder) post(operation string) error {
-	response, err := c.client.Post(c.URL+"/runs/"+operation, "text/plain", nil)
+func (r *Recorder) post(operation string) error {
+	response, err := r.client.Post(r.URL+"/runs/"+operation, "text/plain", nil)
 	if err != nil {
 		return errors.Wrap(err, "record run")
 	}
--- a/standins/engine/group.go
+++ b/standins/engine/group.go
@@ -7,20 +7,19 @@
 	"time"
 )
 
-// GroupOptions are the settings of a group of engines in lock-step.
+// GroupOptions configure a Group.
 type GroupOptions struct {
 	Name                   string
 	Ranks, Experts, Layers int
-	// Pass is how long a pass takes.
+	// PassTime is the duration of a pass.
 	PassTime time.Duration
-	// IgnoreFences makes the engines take orders with old fencing numbers.
+	// IgnoreFences makes the engines execute commands with outdated fencing tokens.
 	IgnoreFences bool
 }
 
-// Group is a group of engines that run each pass together, as the users'
-// platform describes them: a rank switches to an armed map as its pass begins, a
-// held pass doesn't begin, and nobody compares maps. It counts the passes that
-// began while two ranks had different maps.
+// Group simulates a group of engines that run each pass together. A rank switches to an
+// armed map at the start of the armed pass, a held pass doesn't start, and the engines don't
+// compare maps. Group counts the passes that started with different maps.
 type Group struct {
 	options GroupOptions
 
@@ -31,25 +30,25 @@
 	ranks         []*groupRank
 	state         GroupState
 	lastPassStart time.Time
-	// ordered counts orders; each lateEach-th has no answer and is carried out after lateBy.
+	// Every lateEvery-th command gets no response and is executed after lateDelay.
 	commandCount int
 	lateEvery    int
 	lateDelay    time.Duration
 }
 
-// GroupState is what the ranks did so far.
+// GroupState contains statistics of a group since its start.
 type GroupState struct {
 	Epoch  int64 `json:"epoch"`
 	Passes int64 `json:"passes"`
-	// Mixed counts the passes that began with two maps.
+	// MixedPasses counts the passes that started with different maps at two ranks.
 	MixedPasses int `json:"mixed"`
-	// Maps counts the passes of each map in use, by epoch and version.
+	// Maps counts the passes with each map.
 	Maps map[MapID]int `json:"maps"`
-	// GapsUs are the times between the beginnings of the latest passes, in microseconds.
+	// PassIntervalsUs are the times between the starts of the latest passes, in microseconds.
 	PassIntervalsUs []int64 `json:"gapsUs"`
 }
 
-// groupRank is one engine. A restart forgets everything.
+// groupRank is the state of one engine.
 type groupRank struct {
 	version, prepared, highestPrepared int64
 	armed, armedPass                   int64
@@ -69,16 +68,17 @@
 	return g
 }
 
-// form begins a new epoch with the default map, experts in turn, at every rank.
+// startEpoch starts the next epoch. Each rank gets the default map, which assigns experts
+// round-robin, and loses all other state except its fencing token.
 func (g *Group) startEpoch() {
 	g.epoch++
 	g.broken = false
 	initial := make([][][]int, g.options.Layers)
-	for set := range initial {
-		initial[set] = make([][]int, g.options.Ranks)
+	for layer := range initial {
+		initial[layer] = make([][]int, g.options.Ranks)
 		for expert := range g.options.Experts {
 			rank := expert % g.options.Ranks
-			initial[set][rank] = append(initial[set][rank], expert)
+			initial[layer][rank] = append(initial[layer][rank], expert)
 		}
 	}
 	for _, r := range g.ranks {
@@ -87,7 +87,7 @@
 	}
 }
 
-// Run makes passes until the context ends.
+// Run runs passes until the context ends.
 func (g *Group) Run(ctx context.Context) {
 	ticker := time.NewTicker(g.options.PassTime)
 	defer ticker.Stop()
@@ -101,7 +101,7 @@
 	}
 }
 
-// Step begins the next pass, unless the group is broken or a rank holds the pass.
+// BeginPass starts the next pass, unless the group is broken or a rank holds the pass.
 func (g *Group) BeginPass() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -124,10 +124,10 @@
 }
 
 const (
-	// shiftPasses is for how many passes the same experts are liked most.
+	// rotationPasses is the number of passes after which expert popularity rotates.
 	rotationPasses = 400
-	// choices is how often the most liked expert is chosen in a pass, and
-	// choicesSlope how fast the others follow.
+	// maxChoices is how often the most popular expert is chosen in a pass; choicesExponent is
+	// the power-law exponent for the others.
 	maxChoices      = 1000
 	choicesExponent = -1.2
 )
@@ -140,10 +140,10 @@
 	}
 }
 
-// keptGaps bounds the gaps that are remembered.
+// maxPassIntervals bounds GroupState.PassIntervalsUs.
 const maxPassIntervals = 4096
 
-// note looks at the maps with which a pass has begun.
+// recordPass updates the statistics at the start of a pass.
 func (g *Group) recordPass() {
 	g.state.Epoch = g.epoch
 	g.state.Passes++
@@ -164,7 +164,7 @@
 	g.lastPassStart = now
 }
 
-// State returns what the ranks did so far.
+// State returns a copy of the statistics.
 func (g *Group) State() GroupState {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -177,8 +177,8 @@
 	return state
 }
 
-// SetDown takes a rank's engine down, which breaks the group, or starts it
-// again. With the last one back, the group forms anew.
+// SetDown stops a rank's engine, which breaks the group, or restarts it. The next epoch
+// starts once all engines run.
 func (g *Group) SetDown(rank int, down bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -196,8 +196,8 @@
 	g.startEpoch()
 }
 
-// SetLate makes each so-manieth order go unanswered and be carried out after a
-// time; 0 ends that.
+// SetLateCommands drops the response of each every-th command and delays its execution. If
+// every is 0, no command is delayed.
 func (g *Group) SetLateCommands(every int, delay time.Duration) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/standins/engine/group_test.go
+++ b/standins/engine/group_test.go
@@ -6,25 +6,25 @@
 	"github.com/crowbridge/crowbridge/internal/experts"
 )
 
-// TestGroupCountsMixedPasses: the stand-in must notice what a broken holder does.
+// The tests of map switches rely on this double to detect mixed maps.
 func TestGroupCountsPassesWithMixedMaps(t *testing.T) {
 	for name, c := range map[string]struct {
-		orders func(g *Group)
-		mixed  int
+		commands func(g *Group)
+		mixed    int
 	}{
-		"all ranks armed": {orders: func(g *Group) {
+		"all ranks armed": {commands: func(g *Group) {
 			for rank := range 2 {
 				g.execute(rank, experts.Command{Operation: experts.Arm, Version: 1, Pass: 3, Epoch: 1})
 			}
 		}},
-		"one rank armed": {mixed: 1, orders: func(g *Group) {
+		"one rank armed": {mixed: 1, commands: func(g *Group) {
 			g.execute(0, experts.Command{Operation: experts.Arm, Version: 1, Pass: 3, Epoch: 1})
 		}},
-		"one rank armed while the other holds the pass": {orders: func(g *Group) {
+		"one rank armed while the other holds the pass": {commands: func(g *Group) {
 			g.execute(0, experts.Command{Operation: experts.Arm, Version: 1, Pass: 3, Epoch: 1})
 			g.execute(1, experts.Command{Operation: experts.Hold, Pass: 3, Epoch: 1})
 		}},
-		"armed in an epoch that is over": {orders: func(g *Group) {
+		"armed in a past epoch": {commands: func(g *Group) {
 			g.SetDown(1, true)
 			g.SetDown(1, false)
 			g.execute(0, experts.Command{Operation: experts.Arm, Version: 1, Pass: 3, Epoch: 1})
@@ -35,12 +35,12 @@
 			for rank := range 2 {
 				g.execute(rank, experts.Command{Operation: experts.Prepare, Version: 1, Epoch: 1, Map: [][][]int{{{0, 1}, {2, 3}}}})
 			}
-			c.orders(g)
+			c.commands(g)
 			for range 3 {
 				g.BeginPass()
 			}
 			if got := g.State().MixedPasses; got != c.mixed {
-				t.Fatalf("%d passes with two maps counted, want %d", got, c.mixed)
+				t.Fatalf("got %d passes with mixed maps, want %d", got, c.mixed)
 			}
 		})
 	}
--- a/standins/engine/grouphttp.go
+++ b/standins/engine/grouphttp.go
@@ -11,24 +11,24 @@
 	"github.com/crowbridge/crowbridge/platform"
 )
 
-// MapName names a map: versions begin anew in each epoch.
+// MapID identifies a map. Versions restart in each epoch.
 type MapID struct {
 	Epoch, Version int64
 }
 
-// MarshalText makes a MapName a key in JSON.
+// MarshalText implements encoding.TextMarshaler, so that a MapID can be a JSON key.
 func (n MapID) MarshalText() ([]byte, error) {
 	return fmt.Appendf(nil, "%d.%d", n.Epoch, n.Version), nil
 }
 
-// UnmarshalText reads what MarshalText wrote.
+// UnmarshalText implements encoding.TextUnmarshaler.
 func (n *MapID) UnmarshalText(text []byte) error {
 	_, err := fmt.Sscanf(string(text), "%d.%d", &n.Epoch, &n.Version)
 	return err
 }
 
-// Handler returns the HTTP interface of one rank's engine. What isn't about the
-// group goes to other.
+// Handler returns the HTTP API of one rank's engine. Requests that don't concern the group
+// go to other.
 func (g *Group) Handler(rank int, other http.Handler) http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+platform.PathReport, func(w http.ResponseWriter, _ *http.Request) { g.serveReport(w, rank) })
@@ -45,11 +45,11 @@
 	})
 }
 
-// Control returns the harness's interface: what the ranks did, and faults.
+// ControlHandler returns the HTTP API for the test harness: statistics and fault injection.
 func (g *Group) ControlHandler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /state", func(w http.ResponseWriter, _ *http.Request) {
-		_ = json.NewEncoder(w).Encode(g.State()) // the reader is gone
+		_ = json.NewEncoder(w).Encode(g.State()) // fails if the client disconnected
 	})
 	mux.HandleFunc("PUT /down/{rank}/{down}", func(w http.ResponseWriter, r *http.Request) {
 		rank, err := strconv.Atoi(r.PathValue("rank"))
@@ -93,7 +93,7 @@
 		"sequence": r.sequence, "step": g.pass, "map": r.version, "prepared": r.prepared, "armed": armed, "held": r.heldPass,
 		"running": 1, "size": g.options.Ranks,
 		"group": map[string]any{"name": g.options.Name, "epoch": g.epoch, "rank": rank, "state": state},
-	}) // the reader is gone
+	}) // fails if the client disconnected
 }
 
 func (g *Group) serveCounts(w http.ResponseWriter, rank int, includeMap bool) {
@@ -101,14 +101,14 @@
 	defer g.mu.Unlock()
 	r := g.ranks[rank]
 	if !includeMap {
-		_ = json.NewEncoder(w).Encode(map[string]any{"step": g.pass, "epoch": g.epoch, "counts": r.counts}) // the reader is gone
+		_ = json.NewEncoder(w).Encode(map[string]any{"step": g.pass, "epoch": g.epoch, "counts": r.counts}) // fails if the client disconnected
 		return
 	}
-	lists := make([][]int, g.options.Layers)
-	for set := range lists {
-		lists[set] = r.maps[r.version][set][rank]
+	experts := make([][]int, g.options.Layers)
+	for layer := range experts {
+		experts[layer] = r.maps[r.version][layer][rank]
 	}
-	_ = json.NewEncoder(w).Encode(map[string]any{"map": map[string]any{"version": r.version, "experts": lists}}) // the reader is gone
+	_ = json.NewEncoder(w).Encode(map[string]any{"map": map[string]any{"version": r.version, "experts": experts}}) // fails if the client disconnected
 }
 
 func (g *Group) command(w http.ResponseWriter, r *http.Request, rank int) {
@@ -132,7 +132,7 @@
 	g.execute(rank, command)
 }
 
-// carryOut returns the status of an order. The caller holds mu.
+// execute executes a command and returns its HTTP status. The caller holds mu.
 func (g *Group) execute(rank int, c experts.Command) int {
 	r := g.ranks[rank]
 	if c.Fence < r.fence && !g.options.IgnoreFences {
--- a/standins/platform/backend.go
+++ b/standins/platform/backend.go
@@ -8,13 +8,13 @@
 	"github.com/crowbridge/crowbridge/platform"
 )
 
-// BackendConfig is a configuration in the platform's format, with the routes that
-// Backend serves at BackendHost: BackendPlain and BackendStream.
+// BackendConfig is a configuration in the platform's format. Its routes lead to the paths
+// that BackendHandler serves at BackendHost.
 //
 //go:embed backend_config.json
 var BackendConfig string
 
-// Where BackendConfig's public routes are, and their service.
+// Public routes of BackendConfig and their service.
 const (
 	BackendHost       = "h.example"
 	BackendPlainPath  = "/plain/x"
@@ -22,8 +22,8 @@
 	BackendService    = "s"
 )
 
-// Backend answers as the platform's backend servers do: with the request's ID and
-// a signature, and on the stream's path with a number of events, one a write.
+// BackendHandler responds like the platform's backend servers, with the request's ID and a
+// signature. BackendStreamPath sends the given number of events, one per write.
 func BackendHandler(events int) http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc(BackendPlainPath, func(w http.ResponseWriter, r *http.Request) {
@@ -37,7 +37,7 @@
 		for id := range events {
 			fmt.Fprintf(w, "id: %d\ndata: five tokens of text or so\n\n", id+1)
 			if stream.Flush() != nil {
-				return // the caller left
+				return // the caller disconnected
 			}
 		}
 	})
--- a/standins/platform/restore_test.go
+++ b/standins/platform/restore_test.go
@@ -20,7 +20,7 @@
 	logrustest "github.com/sirupsen/logrus/hooks/test"
 )
 
-// clientOf returns a daemon's client of a store.
+// newClient returns a daemon's client for a store.
 func newClient(t *testing.T, store http.Handler) *platform.Store {
 	t.Helper()
 	server := httptest.NewServer(store)
@@ -28,7 +28,7 @@
 	return platform.NewStore(strings.TrimPrefix(server.URL, "http://"), http.DefaultTransport)
 }
 
-// cuttable is a store that a daemon can be cut off from.
+// partitionableStore is a store that can become unreachable for one daemon.
 type partitionableStore struct {
 	*Store
 	unreachable atomic.Bool
@@ -47,13 +47,13 @@
 	known := int64(0)
 	claim := func(holder string) {
 		t.Helper()
-		for range 2 { // refused the first time where the history shows a token unknown here
+		for range 2 { // the first claim is refused if the log has a token that this test doesn't know
 			claimed, err := experts.ClaimLease(ctx, client, experts.LeaseRecord{Group: "g", Holder: holder}, known)
 			if err != nil {
 				t.Fatal(err)
 			}
 			if max(claimed.Fence, claimed.Newest) < known {
-				t.Fatalf("%s was told of token %d after %d", holder, max(claimed.Fence, claimed.Newest), known)
+				t.Fatalf("%s received token %d after token %d", holder, max(claimed.Fence, claimed.Newest), known)
 			}
 			known = max(known, claimed.Newest)
 			if claimed.Fence > 0 {
@@ -71,12 +71,12 @@
 		before := known
 		claim(holder)
 		if known <= before {
-			t.Fatalf("%s got token %d, %d was out before the store came back", holder, known, before)
+			t.Fatalf("%s got token %d, but token %d was issued before the restore", holder, known, before)
 		}
 	}
 }
 
-// followed returns a replica that follows the product's configuration on a store.
+// startReplica returns a replica that follows the configuration log of a store.
 func startReplica(t *testing.T, store http.Handler) (*replica.Replica, platform.ConfigLog) {
 	t.Helper()
 	log := platform.ConfigLog{Store: newClient(t, store), Now: time.Now}
@@ -104,7 +104,7 @@
 	}
 }
 
-// awaitCustomers waits until a replica knows customers.
+// awaitCustomers waits until a replica has the named customers.
 func awaitCustomers(t *testing.T, r *replica.Replica, names ...string) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
@@ -124,7 +124,7 @@
 
 func TestAcknowledgedChangesSurviveStoreRestore(t *testing.T) {
 	for after := range 4 {
-		t.Run(fmt.Sprint(after, " changes after the return"), func(t *testing.T) {
+		t.Run(fmt.Sprint(after, " changes after the restore"), func(t *testing.T) {
 			store := NewStore()
 			first, log := startReplica(t, store)
 			second, _ := startReplica(t, store)
@@ -149,7 +149,7 @@
 			for _, r := range []*replica.Replica{first, second} {
 				awaitCustomers(t, r, names...)
 				if e := r.View().Get(config.KindCustomer, "e").Revision; e <= revision {
-					t.Fatalf("a change after the return has revision %d, one before it had %d", e, revision)
+					t.Fatalf("a change after the restore has revision %d, one before it had %d", e, revision)
 				}
 			}
 			fresh, _ := startReplica(t, store)
@@ -159,7 +159,7 @@
 	}
 }
 
-// awaitSame waits until replicas have the same state.
+// awaitEqualState waits until all replicas have the same state.
 func awaitEqualState(t *testing.T, replicas ...*replica.Replica) {
 	t.Helper()
 	var states []string
@@ -188,7 +188,7 @@
 	addCustomer(t, log, "b")
 	awaitCustomers(t, other, "b")
 	stores[1].unreachable.Store(true)
-	time.Sleep(1100 * time.Millisecond) // a read that waits is over
+	time.Sleep(1100 * time.Millisecond) // lets a pending long poll end
 	addCustomer(t, log, "c")
 	awaitCustomers(t, informed, "c")
 
@@ -201,7 +201,7 @@
 		defer close(done)
 		for range 400 {
 			if informed.View().Get(config.KindCustomer, "c") == nil {
-				t.Error("a change that was in force is no longer")
+				t.Error("an applied change was lost")
 				return
 			}
 			time.Sleep(5 * time.Millisecond)
@@ -213,7 +213,7 @@
 	awaitEqualState(t, informed, other)
 }
 
-// awaitRestored waits until a state has been carried over.
+// awaitRestored waits until a replica has written its state into the restored store.
 func awaitRestored(t *testing.T, store *Store) {
 	t.Helper()
 	for range 500 {
@@ -224,5 +224,5 @@
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
-	t.Fatal("no state was carried over")
+	t.Fatal("no replica wrote its state into the restored store")
 }
--- a/standins/platform/server.go
+++ b/standins/platform/server.go
@@ -10,8 +10,8 @@
 	"github.com/crowbridge/crowbridge/platform"
 )
 
-// Server serves the stand-ins over HTTP. Each availability zone has a port of
-// its own, which can be cut.
+// Server serves a Store over HTTP. Each availability zone has its own port, which can be
+// made unreachable.
 type Server struct {
 	store *Store
 
@@ -25,13 +25,14 @@
 	return &Server{store: NewStore(), unreachable: map[string]bool{}, runs: map[string]int{}}
 }
 
-// Serve answers the daemons of one zone on the listener.
+// Serve serves the daemons of one zone on the listener.
 func (s *Server) Serve(listener net.Listener, zone string) error {
 	server := &http.Server{Handler: s.abortIfUnreachable(zone, s.store), ReadHeaderTimeout: time.Second}
 	return server.Serve(listener)
 }
 
-// ServeControl answers the harness: faults, and the count of runs.
+// ServeControl serves the test harness on the listener: fault injection and the counts of
+// executions.
 func (s *Server) ServeControl(listener net.Listener) error {
 	mux := http.NewServeMux()
 	mux.Handle("/", s.store)
@@ -58,7 +59,7 @@
 	})
 }
 
-// registered are the states that servers register, by what scripts call them.
+// registeredStates maps the states of test scripts to those that servers register.
 var registeredStates = map[string]string{"live": "ready", "leaving": "draining"}
 
 func (s *Server) setServerState(w http.ResponseWriter, r *http.Request) {
--- a/standins/platform/snapshot_test.go
+++ b/standins/platform/snapshot_test.go
@@ -14,7 +14,7 @@
 	"github.com/crowbridge/crowbridge/platform"
 )
 
-// keptLog is the product's log on a fresh stand-in.
+// newConfigLog returns a configuration log on a new store, whose handler wrap may replace.
 func newConfigLog(t *testing.T, wrap func(http.Handler) http.Handler) platform.ConfigLog {
 	t.Helper()
 	server := httptest.NewServer(wrap(NewStore()))
@@ -25,11 +25,11 @@
 
 func passThrough(h http.Handler) http.Handler { return h }
 
-// snapshotOf returns bytes that are like no others.
+// randomSnapshot returns bytes that differ for each size.
 func randomSnapshot(size int) []byte {
 	data := make([]byte, size)
 	random := rand.NewChaCha8([32]byte{byte(size)})
-	_, _ = random.Read(data) // it never fails
+	_, _ = random.Read(data) // never fails
 	return data
 }
 
@@ -40,12 +40,12 @@
 		t.Fatal(err)
 	}
 	if !bytes.Equal(got, want) {
-		t.Fatalf("%d bytes are kept, want %d", len(got), len(want))
+		t.Fatalf("loaded a snapshot of %d bytes, want %d", len(got), len(want))
 	}
 }
 
-// TestKeptStateIsTheNewest: what was kept comes back whole, in however many
-// parts, and an older state never replaces a newer one.
+// A snapshot that is split into records must be loaded complete, and a late writer must not
+// replace a newer snapshot.
 func TestOlderSnapshotNeverReplacesNewer(t *testing.T) {
 	log, ctx := newConfigLog(t, passThrough), context.Background()
 	requireSnapshot(t, log, nil)
@@ -62,8 +62,7 @@
 	}
 }
 
-// TestKeptStateIsWhole: a writer that another one has overtaken writes nothing, and
-// parts that don't belong together are never taken for a state.
+// Parts of snapshots of concurrent writers must never be combined into one.
 func TestConcurrentSnapshotsAreNeverMixed(t *testing.T) {
 	ctx := context.Background()
 	interleaved := false
@@ -80,7 +79,7 @@
 		})
 	})
 	if err := log.SaveSnapshot(ctx, 6, randomSnapshot(20)); err == nil {
-		t.Fatal("a state was kept over one that came meanwhile")
+		t.Fatal("a snapshot replaced one that was written concurrently")
 	}
 	requireSnapshot(t, log, randomSnapshot(30))
 
@@ -91,6 +90,6 @@
 	}
 	store.Put("keyed.configuration", "part-0000", "another's")
 	if _, err := mixed.LoadSnapshot(ctx); err == nil {
-		t.Fatal("parts of two states were taken for one")
+		t.Fatal("parts of two snapshots were loaded as one")
 	}
 }
--- a/standins/platform/store.go
+++ b/standins/platform/store.go
@@ -1,6 +1,5 @@
-// Package platform is a small stand-in for the store of the users' platform: a
-// log of topics with limited retention, outages and lost answers, which speaks
-// the published protocol.
+// Package platform is a test double of the users' platform: an in-memory store that speaks
+// the published protocol, with injectable faults, and simple backend servers.
 package platform
 
 import (
@@ -19,24 +18,22 @@
 	"github.com/crowbridge/crowbridge/platform"
 )
 
-// Store keeps topics of one partition each, in memory. It implements
-// http.Handler. Safe for concurrent use.
+// Store keeps topics of one partition each in memory. It implements http.Handler and is
+// safe for concurrent use.
 type Store struct {
 	mu      sync.Mutex
 	topics  map[string]*topic
 	changed chan struct{}
 	faults  Faults
-	// era rises with each return from copied, which has the topics as they were then.
-	era    int64
-	backup map[string]*topic
+	era     int64 // incremented by each restore
+	backup  map[string]*topic
 }
 
 // topic is a log whose oldest records may have been dropped.
 type topic struct {
-	first   int64
+	first   int64 // offset of records[0]
 	records [][]byte
-	// newest has the newest record of each key, in a keyed topic.
-	newest map[string]item
+	newest  map[string]item // by key, in a keyed topic
 }
 
 // item is the newest record of a key.
@@ -48,19 +45,20 @@
 
 func (t *topic) end() int64 { return t.first + int64(len(t.records)) }
 
-// Faults are what can be wrong with the store.
+// Faults are the injectable faults of a store.
 type Faults struct {
 	// Down refuses every call.
 	Down bool `json:"down"`
-	// LoseAnswers carries appends out without an answer.
+	// LoseResponses executes appends and then drops the connection.
 	LoseResponses bool `json:"loseAnswers"`
-	// DelayMs slows every call.
+	// DelayMs delays every call.
 	DelayMs int64 `json:"delayMs"`
-	// Keep bounds the records that a topic keeps; 0 keeps all.
+	// MaxRecords bounds the records that a topic retains; 0 retains all.
 	MaxRecords int `json:"keep"`
-	// NoEra leaves the era out of the answers, as stores without one do.
+	// OmitEra leaves the era out of responses, like a store without eras.
 	OmitEra bool `json:"noEra"`
-	// Deaf makes reads that begin while it's set hear of nothing until their wait is over.
+	// StallReads makes reads that start while it is set return new records only after
+	// their wait time.
 	StallReads bool `json:"deaf"`
 }
 
@@ -71,15 +69,15 @@
 
 const firstEra = 1
 
-// Copy notes the topics as they are, for Return.
+// TakeBackup saves the topics for RestoreBackup.
 func (s *Store) TakeBackup() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.backup = cloneTopics(s.topics)
 }
 
-// Return makes the store come back as it was at Copy, in the next era. Reads that wait
-// hang: they are never answered.
+// RestoreBackup replaces the topics by those of the last backup and starts the next era.
+// Pending reads get no response.
 func (s *Store) RestoreBackup() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -95,7 +93,7 @@
 	return clone
 }
 
-// lock takes the lock and names the era in an answer that is given under it.
+// lockWithEra locks the store and writes the era header of a response.
 func (s *Store) lockWithEra(w http.ResponseWriter) (era int64) {
 	s.mu.Lock()
 	if !s.faults.OmitEra {
@@ -104,7 +102,7 @@
 	return s.era
 }
 
-// SetFaults changes what is wrong.
+// SetFaults replaces the active faults.
 func (s *Store) SetFaults(faults Faults) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -112,19 +110,19 @@
 	for _, t := range s.topics {
 		s.trim(t)
 	}
-	close(s.changed) // reads that wait are refused if it's down now
+	close(s.changed) // pending reads fail if the store is down now
 	s.changed = make(chan struct{})
 }
 
-// Put writes a record of a keyed topic, as operators and servers do.
+// Put appends a record to a keyed topic.
 func (s *Store) Put(name, key, value string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.appendRecord(name, append([]byte{byte(len(key))}, key+value...))
 }
 
-// Compact drops all records of a topic but the newest of each key, as the platform does at
-// any time: reads from an offset before that are told so, also those that wait.
+// Compact drops the log of a topic and retains the newest record of each key. Reads from
+// earlier offsets fail with status 410, also pending ones.
 func (s *Store) Compact(name string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -134,7 +132,7 @@
 	s.changed = make(chan struct{})
 }
 
-// Records returns the records that a topic keeps.
+// Records returns the retained records of a topic.
 func (s *Store) Records(name string) [][]byte {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -151,12 +149,12 @@
 }
 
 const (
-	// maxRecord and maxCall bound an append, in bytes, as the users' platform does.
+	// Limits of the users' platform for one record and one append.
 	maxRecordBytes = 256 << 10
 	maxAppendBytes = 2 << 20
 )
 
-// keyedPrefix begins the names of topics whose records have keys.
+// keyedPrefix starts the names of topics whose records have keys.
 const keyedPrefix = "keyed."
 
 func (s *Store) appendRecord(name string, record []byte) {
@@ -203,7 +201,7 @@
 	}
 }
 
-// split reads records with their lengths.
+// splitRecords decodes length-prefixed records.
 func splitRecords(body []byte) (records [][]byte, ok bool) {
 	for len(body) > 0 {
 		if len(body) < platform.LengthBytes {
@@ -220,12 +218,12 @@
 	return records, len(records) > 0
 }
 
-// serveAppend takes records, all or none.
+// serveAppend appends all records of a request or none.
 func (s *Store) serveAppend(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(r.Body)
 	records, ok := splitRecords(body)
 	if err != nil || !ok || len(body) > maxAppendBytes {
-		http.Error(w, "records with their lengths, within the bounds of size", http.StatusBadRequest)
+		http.Error(w, "body: want length-prefixed records within the size limits", http.StatusBadRequest)
 		return
 	}
 	s.lockWithEra(w)
@@ -246,7 +244,8 @@
 	writeJSON(w, map[string]int64{"offset": end, "end": end + int64(len(records))})
 }
 
-// serveRead answers with the end, the first offset kept, and records.
+// serveRead returns the topic's end, its first retained offset, and records. It waits up to
+// wait_ms for a new record.
 func (s *Store) serveRead(w http.ResponseWriter, r *http.Request) {
 	query := r.URL.Query()
 	from, err := strconv.ParseInt(query.Get("from"), 10, 64)
@@ -278,15 +277,15 @@
 	}
 }
 
-// state returns what a read that begins goes by.
+// readState returns whether reads stall, and the era.
 func (s *Store) readState() (stalled bool, era int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.faults.StallReads, s.era
 }
 
-// readNow answers a read if there is a record, or at any rate; never one that began in
-// another era.
+// tryRead responds to a read if a record is available, or if allowEmpty is set. It never
+// responds to a read that started in another era.
 func (s *Store) tryRead(w http.ResponseWriter, name string, from int64, allowEmpty bool, startEra int64) (<-chan struct{}, int64, bool) {
 	era := s.lockWithEra(w)
 	defer s.mu.Unlock()
@@ -303,12 +302,12 @@
 	case from >= t.end() && !allowEmpty:
 		return s.changed, era, false
 	default:
-		_, _ = w.Write(t.encode(from)) // the reader is gone
+		_, _ = w.Write(t.encode(from)) // fails if the reader disconnected
 	}
 	return nil, era, true
 }
 
-// maxRead bounds the records in one answer.
+// maxReadRecords bounds the records in one response.
 const maxReadRecords = 1000
 
 func (t *topic) encode(from int64) []byte {
@@ -325,7 +324,7 @@
 	return data
 }
 
-// serveNewest answers with the newest record of each key, in one page.
+// serveNewest returns the newest record of each key, in one page.
 func (s *Store) serveNewest(w http.ResponseWriter, r *http.Request) {
 	s.lockWithEra(w)
 	defer s.mu.Unlock()
@@ -338,5 +337,5 @@
 }
 
 func writeJSON(w http.ResponseWriter, value any) {
-	_ = json.NewEncoder(w).Encode(value) // the reader is gone
+	_ = json.NewEncoder(w).Encode(value) // fails if the reader disconnected
 }
