--- a/standins/platformdaemon/ending_group_test.go
+++ b/standins/platformdaemon/crashinggroup_test.go
@@ -18,16 +18,12 @@
 	. "github.com/onsi/gomega"
 )
 
-// The same story with a group in lock-step: each end takes all ranks away, so that the
-// streams of all of them break off, and a dozen sound ones run where the rank ended.
-
 const (
-	endingRanks = 4
-	// groupStall is how long the other ranks wait for one that has ended before they cut
-	// off what they run.
+	crashingRanks = 4
+	// groupStall is how long the other ranks wait for a crashed one before they abort their streams.
 	groupStall = 300 * time.Millisecond
-	// streamEvents and eventPause are of sound streams: long enough to run at several ranks
-	// whenever one ends.
+	// streamEvents and eventPause make healthy streams long enough to run at several ranks
+	// whenever one crashes.
 	streamEvents = 30
 	eventPause   = 10 * time.Millisecond
 )
@@ -37,41 +33,40 @@
  "services":[{"name":"m","max_conns":50,"engine":{"capacity":12,"stride":5,"step_ms":5.85,"per_seq_ms":0.355,"sets":1,"experts":8,"placements":4,"spare":2,"expert_share":0.85}}],
  "limits":{"max_header_bytes":16384,"max_body_bytes":100000,"header_timeout_ms":3000,"idle_timeout_ms":15000},"tenants":[{"name":"t","api_keys":["k1"]}]}`
 
-// endingGroup is a group of engines that a request with endingBody breaks.
-type endingGroup struct {
-	fleet *fleetOfEntries
-	group *engine.Group
-	mu    sync.Mutex
-	// ids and addresses are the ranks', epoch the group's.
+// crashingGroup is an engine group of which a request with crashBody crashes one rank.
+type crashingGroup struct {
+	deployment     *deployment
+	group          *engine.Group
+	mu             sync.Mutex
 	ids, addresses []string
 	epoch          int
 	starts         atomic.Int64
-	// broken is closed when the group breaks and replaced when it's back.
-	broken  chan struct{}
-	closing atomic.Bool
+	// broken is closed when the group breaks and replaced when it forms again.
+	broken   chan struct{}
+	stopping atomic.Bool
 }
 
-// register writes all ranks' entries. The lock is held.
-func (e *endingGroup) register(state string) {
+// register writes the registrations of all ranks. The caller holds mu.
+func (e *crashingGroup) register(state string) {
 	for rank, id := range e.ids {
-		e.fleet.store.Put("keyed.servers", id, fmt.Sprintf(
+		e.deployment.store.Put("keyed.servers", id, fmt.Sprintf(
 			`{"service":"m","address":%q,"zone":"z","capacity":12,"state":"ready","group":{"name":"g","epoch":%d,"rank":%d,"state":%q},"size":%d}`,
-			e.addresses[rank], e.epoch, rank, state, endingRanks))
+			e.addresses[rank], e.epoch, rank, state, crashingRanks))
 	}
 }
 
-// end takes a rank away, and the group with it.
-func (e *endingGroup) end(rank int) {
+// crash takes a rank down, which breaks the group.
+func (e *crashingGroup) crash(rank int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.group.SetDown(rank, true)
 	close(e.broken)
-	e.fleet.store.Put("keyed.servers", e.ids[rank], "")
+	e.deployment.store.Put("keyed.servers", e.ids[rank], "")
 	e.ids[rank] = fmt.Sprintf("r%d-%d", rank, e.starts.Add(1))
 }
 
-// back forms the group anew.
-func (e *endingGroup) back(rank int) {
+// reform brings a rank back and forms the group in a new epoch.
+func (e *crashingGroup) reform(rank int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.group.SetDown(rank, false)
@@ -80,30 +75,30 @@
 	e.register("open")
 }
 
-// brokenChannel returns what is closed when the group breaks, and the present ID of a rank.
-func (e *endingGroup) present(rank int) (broken chan struct{}, id string) {
+// currentRank returns the channel that is closed when the group breaks, and the rank's current ID.
+func (e *crashingGroup) currentRank(rank int) (broken chan struct{}, id string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.broken, e.ids[rank]
 }
 
-// run keeps one rank's engine running: it listens again restartDelay after its end.
-func (e *endingGroup) run(t *testing.T, rank int, listener net.Listener) {
+// run serves one rank until the test ends and restarts it restartDelay after each crash.
+func (e *crashingGroup) run(t *testing.T, rank int, listener net.Listener) {
 	address := listener.Addr().String()
 	var current atomic.Pointer[http.Server]
-	begin := func() *http.Server {
+	newServer := func() *http.Server {
 		server := &http.Server{ReadHeaderTimeout: time.Minute}
 		server.Handler = e.group.Handler(rank, e.handler(rank, server))
 		current.Store(server)
 		return server
 	}
-	server := begin()
+	server := newServer()
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		for !e.closing.Load() {
+		for !e.stopping.Load() {
 			_ = server.Serve(listener)
-			if e.closing.Load() {
+			if e.stopping.Load() {
 				return
 			}
 			time.Sleep(restartDelay)
@@ -111,21 +106,21 @@
 			for listener, err = net.Listen("tcp", address); err != nil; listener, err = net.Listen("tcp", address) {
 				time.Sleep(time.Millisecond)
 			}
-			server = begin()
-			e.back(rank)
+			server = newServer()
+			e.reform(rank)
 		}
 	}()
 	t.Cleanup(func() {
-		e.closing.Store(true)
+		e.stopping.Store(true)
 		_ = current.Load().Close()
 		<-done
 	})
 }
 
-// handler runs streams at a rank.
-func (e *endingGroup) handler(rank int, server *http.Server) http.Handler {
+// handler serves streams of a rank, or crashes it.
+func (e *crashingGroup) handler(rank int, server *http.Server) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		broken, id := e.present(rank)
+		broken, id := e.currentRank(rank)
 		body, err := io.ReadAll(r.Body)
 		if err != nil {
 			return
@@ -143,9 +138,9 @@
 			return
 		default:
 		}
-		if string(body) == endingBody {
-			e.fleet.servers.ended.Add(1)
-			e.end(rank)
+		if string(body) == crashBody {
+			e.deployment.servers.crashed.Add(1)
+			e.crash(rank)
 			go server.Close()
 			<-r.Context().Done()
 			panic(http.ErrAbortHandler)
@@ -154,7 +149,7 @@
 	})
 }
 
-// stream writes events, until the group has been broken for groupStall.
+// stream writes events, and aborts groupStall after the group breaks.
 func stream(w http.ResponseWriter, broken chan struct{}) {
 	w.Header().Set("X-Server-Stamp", "s")
 	w.Header().Set("Content-Type", "text/event-stream")
@@ -173,15 +168,17 @@
 	}
 }
 
-func TestRequestThatBreaksItsGroup(t *testing.T) {
-	f := newServers(t, false)
-	f.store.Put(platform.TopicOperators, "config", groupConfig)
-	e := &endingGroup{
-		fleet: f, epoch: 1, broken: make(chan struct{}),
-		group: engine.NewGroup(engine.GroupOptions{Name: "g", Ranks: endingRanks, Experts: 8, Layers: 1, PassTime: passTime}),
+// When a rank crashes, streams of all ranks of its group break off. Only the request that crashed
+// it may be quarantined, not the healthy ones.
+func TestOnlyRequestThatCrashesRanksIsQuarantined(t *testing.T) {
+	d := newServerDeployment(t, false)
+	d.store.Put(platform.TopicOperators, "config", groupConfig)
+	e := &crashingGroup{
+		deployment: d, epoch: 1, broken: make(chan struct{}),
+		group: engine.NewGroup(engine.GroupOptions{Name: "g", Ranks: crashingRanks, Experts: 8, Layers: 1, PassTime: passTime}),
 	}
-	listeners := make([]net.Listener, endingRanks)
-	for rank := range endingRanks {
+	listeners := make([]net.Listener, crashingRanks)
+	for rank := range crashingRanks {
 		listener, err := net.Listen("tcp", fmt.Sprintf("127.0.0.%d:0", 60+rank))
 		Expect(err).NotTo(HaveOccurred())
 		listeners[rank] = listener
@@ -193,53 +190,53 @@
 		e.run(t, rank, listener)
 	}
 	for range 2 {
-		f.addEntry(len(f.entries) > 0)
+		d.addEntry(len(d.entries) > 0)
 	}
 	for rank, address := range e.addresses {
 		stop := start(platformdaemon.NewAgentDaemon(&platform.Settings{
-			Daemon: fmt.Sprint("agent-", rank), IP: fmt.Sprintf("127.0.0.%d", 60+rank), Zone: "z", Store: f.address, Path: "none",
-			FirstPort: f.firstPort, Seeds: []string{f.entries[0].Control}, LocalServer: address, EnginesFence: true,
-		}, quietLog()))
+			Daemon: fmt.Sprint("agent-", rank), IP: fmt.Sprintf("127.0.0.%d", 60+rank), Zone: "z", Store: d.address, Path: "none",
+			FirstPort: d.firstPort, Seeds: []string{d.entries[0].Control}, LocalServer: address, EnginesFence: true,
+		}, discardLog()))
 		t.Cleanup(stop)
 	}
-	f.awaitReady()
+	d.awaitReady()
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
 	go e.group.Run(ctx)
 
-	var calling sync.WaitGroup
-	var served, heldBack atomic.Int64
+	var callers sync.WaitGroup
+	var served, quarantined atomic.Int64
 	done := make(chan struct{})
-	for c := range soundCallers {
-		calling.Go(func() {
+	for c := range healthyCallers {
+		callers.Go(func() {
 			for n := 0; ; n++ {
 				select {
 				case <-done:
 					return
 				default:
 				}
-				for try := range soundTries { // the same request again
-					status, answer := f.post((c+try)%len(f.entries), "/write/x", fmt.Sprintf("sound %d of caller %d", n, c))
+				for try := range healthyTries { // repeats the same request
+					status, content := d.post((c+try)%len(d.entries), "/write/x", fmt.Sprintf("healthy request %d of caller %d", n, c))
 					if status == http.StatusOK {
 						served.Add(1)
 						break
 					}
-					if strings.Contains(answer, "quarantined") {
-						heldBack.Add(1)
+					if strings.Contains(content, "quarantined") {
+						quarantined.Add(1)
 					}
 					time.Sleep(repeatPause / 3)
 				}
 			}
 		})
 	}
-	for i := range repeats {
-		f.post(i%len(f.entries), "/write/x", endingBody)
+	for i := range crashAttempts {
+		d.post(i%len(d.entries), "/write/x", crashBody)
 		time.Sleep(2 * repeatPause)
 	}
 	close(done)
-	calling.Wait()
+	callers.Wait()
 	Expect(served.Load()).To(BeNumerically(">", 0))
-	Expect(heldBack.Load()).To(BeZero(), "sound requests taken for the one that ended the ranks")
-	Expect(f.servers.ended.Load()).To(BeNumerically("<=", mostEnded), "ranks that one request ended")
-	t.Logf("%d ranks ended, %d sound requests served", f.servers.ended.Load(), served.Load())
+	Expect(quarantined.Load()).To(BeZero(), "healthy requests that were quarantined")
+	Expect(d.servers.crashed.Load()).To(BeNumerically("<=", maxCrashes), "ranks crashed by one request")
+	t.Logf("%d ranks crashed, %d healthy requests served", d.servers.crashed.Load(), served.Load())
 }
--- a/standins/platformdaemon/daemons_test.go
+++ b/standins/platformdaemon/daemons_test.go
@@ -9,29 +9,30 @@
 	. "github.com/onsi/gomega"
 )
 
-// runner is a daemon.
 type runner interface {
 	Run(ctx context.Context) error
 }
 
-// start starts a daemon and returns what stops it and waits for its end.
+// start starts a daemon and returns a function that stops it and waits until it has exited.
 func start(daemon runner) (stop func()) {
 	ctx, cancel := context.WithCancel(context.Background())
-	ended := make(chan error, 1)
-	go func() { ended <- daemon.Run(ctx) }()
+	result := make(chan error, 1)
+	go func() { result <- daemon.Run(ctx) }()
 	return func() {
 		cancel()
-		Eventually(ended, patience).Should(Receive(BeNil()))
+		Eventually(result, testTimeout).Should(Receive(BeNil()))
 	}
 }
 
-// startTogether returns what starts daemons that are stopped all at once when the test ends.
-func startTogether(t *testing.T) func(daemon runner) {
+// newStarter returns a function that starts daemons, which are stopped concurrently at the end of
+// the test.
+func newStarter(t *testing.T) func(daemon runner) {
 	var stops []func()
 	t.Cleanup(func() { stopAll(stops) })
 	return func(daemon runner) { stops = append(stops, start(daemon)) }
 }
 
+// stopAll calls the functions concurrently and waits for them.
 func stopAll(stops []func()) {
 	var stopping sync.WaitGroup
 	for _, stop := range stops {
@@ -40,8 +41,8 @@
 	stopping.Wait()
 }
 
-// run starts a daemon for a spec and returns what stops it.
-func run(daemon runner) func() {
+// startForSpec starts a daemon that is stopped by the returned function, or at the end of the spec.
+func startForSpec(daemon runner) func() {
 	stop := start(daemon)
 	stopped := false
 	DeferCleanup(func() {
--- a/standins/platformdaemon/outage_test.go
+++ b/standins/platformdaemon/outage_test.go
@@ -14,26 +14,27 @@
 	. "github.com/onsi/gomega"
 )
 
-func TestOperatorsChangeIsInForceRightAfterAnOutageOfTheStore(t *testing.T) {
+// An operator's change must be accepted soon after an outage of the store and reach all entries.
+func TestOperatorChangeAppliesRightAfterStoreOutage(t *testing.T) {
 	RegisterTestingT(t)
 	store := standin.NewStore()
-	address, stop := serveAt("127.0.0.1:0", store)
+	address, stop := serve("127.0.0.1:0", store)
 	t.Cleanup(stop)
 	store.Put(platform.TopicOperators, "config", configVersion(1, `"k1"`))
 	operator, err := daemon.ParseOperator("ops:change:" + daemon.HashSecret("token"))
 	Expect(err).NotTo(HaveOccurred())
 	var entries []*platform.Settings
-	startEntry := startTogether(t)
+	startEntry := newStarter(t)
 	for _, ip := range []string{"127.0.0.55", "127.0.0.56"} {
 		settings := entrySettings(ip, address)
 		if len(entries) > 0 {
 			settings.Seeds = []string{entries[0].Control}
 		}
 		entries = append(entries, settings)
-		startEntry(platformdaemon.NewEntryDaemon(settings, []daemon.Operator{operator}, quietLog()))
+		startEntry(platformdaemon.NewEntryDaemon(settings, []daemon.Operator{operator}, discardLog()))
 	}
 	for _, entry := range entries {
-		Eventually(func() int { status, _ := ask(entry, "/a/x", "k1"); return status }, patience).Should(Equal(http.StatusServiceUnavailable), "no server")
+		Eventually(func() int { status, _ := get(entry, "/a/x", "k1"); return status }, testTimeout).Should(Equal(http.StatusServiceUnavailable), "no server")
 	}
 	store.SetFaults(standin.Faults{Down: true})
 	time.Sleep(2 * time.Second)
@@ -49,6 +50,6 @@
 			reply, err := client.Get(t.Context(), &rpc.GetRequest{Kind: string(config.KindCustomer)})
 			Expect(err).NotTo(HaveOccurred())
 			return len(reply.GetObjects())
-		}, patience).Should(Equal(1))
+		}, testTimeout).Should(Equal(1))
 	}
 }
--- a/standins/platformdaemon/platformdaemon_test.go
+++ b/standins/platformdaemon/platformdaemon_test.go
@@ -1,5 +1,5 @@
-// Package platformdaemon_test runs the daemons of the users' platform in process against
-// stand-ins of the store, of servers and of engines in lock-step.
+// Package platformdaemon_test runs the platform daemons in process against stand-ins of the
+// store, of backend servers and of a lock-step engine group.
 package platformdaemon_test
 
 import (
@@ -33,30 +33,30 @@
 }
 
 const (
-	patience = 20 * time.Second
-	// groupRanks and groupExperts are the shape of the group in these specs, passTime
-	// the time of its passes.
+	testTimeout = 20 * time.Second
+
+	// groupRanks, groupExperts and passTime configure the engine group.
 	groupRanks   = 3
 	groupExperts = 6
 	passTime     = 5 * time.Millisecond
 )
 
 const (
-	// firstTestPort is below the ports that the system gives to outgoing connections.
-	firstTestPort = 21000
-	portsEach     = 10
+	// firstTestPort is below the ephemeral port range.
+	firstTestPort  = 21000
+	portsPerDaemon = 10
 )
 
-// nextPorts is where freePorts looks next.
-var nextPorts = firstTestPort
+// nextPort is the port at which freePorts starts to look.
+var nextPort = firstTestPort
 
-// freePorts returns the first of some ports that are free on a loopback address.
+// freePorts returns the first of portsPerDaemon consecutive ports that are free on a loopback address.
 func freePorts(ip string) int {
 	for {
-		base := nextPorts
-		nextPorts += portsEach
+		base := nextPort
+		nextPort += portsPerDaemon
 		free := true
-		for port := base; port < base+portsEach; port++ {
+		for port := base; port < base+portsPerDaemon; port++ {
 			listener, err := net.Listen("tcp", fmt.Sprintf("%s:%d", ip, port))
 			if err != nil {
 				free = false
@@ -70,7 +70,7 @@
 	}
 }
 
-func quietLog() *logrus.Entry {
+func discardLog() *logrus.Entry {
 	logger, _ := logrustest.NewNullLogger()
 	return logrus.NewEntry(logger)
 }
@@ -79,7 +79,7 @@
 	return entrySettingsAt(ip, freePorts(ip), store)
 }
 
-// entrySettingsAt are the settings of an entry whose ports begin with base.
+// entrySettingsAt returns the settings of an entry whose ports start at base.
 func entrySettingsAt(ip string, base int, store string) *platform.Settings {
 	at := func(n int) string { return fmt.Sprintf("%s:%d", ip, base+n) }
 	return &platform.Settings{
@@ -89,7 +89,9 @@
 	}
 }
 
-func ready(s *platform.Settings) func() int {
+// readyStatus returns a function that gets the status of the readiness endpoint, or 0 without
+// a response.
+func readyStatus(s *platform.Settings) func() int {
 	return func() int {
 		response, err := http.Get("http://" + s.Readiness + "/ready")
 		if err != nil {
@@ -100,7 +102,8 @@
 	}
 }
 
-func ask(s *platform.Settings, path, key string) (int, string) {
+// get sends a request with an API key and returns the status and body, or 0 and the error.
+func get(s *platform.Settings, path, key string) (int, string) {
 	request, err := http.NewRequest(http.MethodGet, "http://"+s.Callers+path, nil)
 	Expect(err).NotTo(HaveOccurred())
 	request.Host = "h.example"
@@ -116,6 +119,7 @@
 	return response.StatusCode, string(body)
 }
 
+// configVersion returns a configuration of the operators' topic with the given API keys.
 func configVersion(version int, keys string) string {
 	return fmt.Sprintf(`{"version":%d,"routes":[{"name":"r","host":"h.example","path_prefix":"/a/","type":"idempotent","timeout_ms":5000,"service":"s","max_attempts":2}],
 	 "services":[{"name":"s","max_conns":50},{"name":"m","max_conns":50,"engine":{"capacity":12,"stride":5,"step_ms":5.85,"per_seq_ms":0.355,"sets":1,"experts":%d,"placements":4,"spare":2,"expert_share":0.85}}],
@@ -123,8 +127,8 @@
 		version, groupExperts, keys)
 }
 
-// signingServer answers as the platform's servers do.
-func signingServer(served *atomic.Int64) http.Handler {
+// platformServer responds as the platform's servers do.
+func platformServer(served *atomic.Int64) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		served.Add(1)
 		w.Header().Set("X-Attempt-Id", r.Header.Get("X-Attempt-Id"))
@@ -133,7 +137,7 @@
 	})
 }
 
-// tokenTransport sends an operator's token.
+// tokenTransport adds an operator's token to each request.
 type tokenTransport struct{}
 
 func (tokenTransport) RoundTrip(r *http.Request) (*http.Response, error) {
@@ -142,7 +146,7 @@
 	return http.DefaultTransport.RoundTrip(r)
 }
 
-// apply submits the objects of a manifest.
+// apply submits the objects of a manifest and returns the verdict.
 func apply(api rpc.Operators, manifest string) rpc.Verdict {
 	objects, err := config.ParseManifest([]byte(manifest))
 	Expect(err).NotTo(HaveOccurred())
@@ -160,7 +164,7 @@
 	return reply.Verdict
 }
 
-var _ = Describe("an entry on the platform", func() {
+var _ = Describe("entry daemon", func() {
 	var store *standin.Store
 	var settings *platform.Settings
 	var served atomic.Int64
@@ -168,71 +172,71 @@
 	BeforeEach(func() {
 		served.Store(0)
 		store = standin.NewStore()
-		settings = entrySettings("127.0.0.1", listen("127.0.0.1:0", store))
+		settings = entrySettings("127.0.0.1", serveForSpec("127.0.0.1:0", store))
 	})
 
 	serveOne := func() {
 		store.Put(platform.TopicOperators, "config", configVersion(1, `"k1"`))
-		address := listen("127.0.0.1:0", signingServer(&served))
+		address := serveForSpec("127.0.0.1:0", platformServer(&served))
 		store.Put("keyed.servers", "i-1", fmt.Sprintf(`{"service":"s","address":%q,"zone":"z","capacity":6,"state":"ready"}`, address))
 	}
 
-	It("answers 503 until it is configured, then serves", func() {
-		run(platformdaemon.NewEntryDaemon(settings, nil, quietLog()))
-		Eventually(ready(settings), patience).Should(Equal(http.StatusServiceUnavailable))
-		status, _ := ask(settings, "/a/x", "k1")
+	It("responds with 503 until it is configured, then serves", func() {
+		startForSpec(platformdaemon.NewEntryDaemon(settings, nil, discardLog()))
+		Eventually(readyStatus(settings), testTimeout).Should(Equal(http.StatusServiceUnavailable))
+		status, _ := get(settings, "/a/x", "k1")
 		Expect(status).To(Equal(http.StatusServiceUnavailable))
 		serveOne()
-		Eventually(ready(settings), patience).Should(Equal(http.StatusOK))
+		Eventually(readyStatus(settings), testTimeout).Should(Equal(http.StatusOK))
 		Eventually(func() string {
-			_, body := ask(settings, "/a/x", "k1")
+			_, body := get(settings, "/a/x", "k1")
 			return body
-		}, patience).Should(Equal("for t by i-1"))
+		}, testTimeout).Should(Equal("for t by i-1"))
 	})
 
-	It("takes keys away with a new configuration", func() {
+	It("rejects keys that a new configuration revokes", func() {
 		serveOne()
-		run(platformdaemon.NewEntryDaemon(settings, nil, quietLog()))
+		startForSpec(platformdaemon.NewEntryDaemon(settings, nil, discardLog()))
 		statusWith := func(key string) func() int {
 			return func() int {
-				status, _ := ask(settings, "/a/x", key)
+				status, _ := get(settings, "/a/x", key)
 				return status
 			}
 		}
-		Eventually(statusWith("k1"), patience).Should(Equal(http.StatusOK))
+		Eventually(statusWith("k1"), testTimeout).Should(Equal(http.StatusOK))
 		store.Put(platform.TopicOperators, "config", configVersion(2, `"k2"`))
-		Eventually(statusWith("k1"), patience).Should(Equal(http.StatusUnauthorized))
+		Eventually(statusWith("k1"), testTimeout).Should(Equal(http.StatusUnauthorized))
 		Expect(statusWith("k2")()).To(Equal(http.StatusOK))
 	})
 
-	It("learns all it needs from another entry while the store is down", func() {
+	It("starts from a peer's state while the store is down", func() {
 		serveOne()
-		run(platformdaemon.NewEntryDaemon(settings, nil, quietLog()))
-		Eventually(ready(settings), patience).Should(Equal(http.StatusOK))
+		startForSpec(platformdaemon.NewEntryDaemon(settings, nil, discardLog()))
+		Eventually(readyStatus(settings), testTimeout).Should(Equal(http.StatusOK))
 		store.SetFaults(standin.Faults{Down: true})
 		second := entrySettings("127.0.0.2", settings.Store)
 		second.Seeds = []string{settings.Control}
-		run(platformdaemon.NewEntryDaemon(second, nil, quietLog()))
-		Eventually(ready(second), patience).Should(Equal(http.StatusOK))
-		status, _ := ask(second, "/a/x", "k1")
+		startForSpec(platformdaemon.NewEntryDaemon(second, nil, discardLog()))
+		Eventually(readyStatus(second), testTimeout).Should(Equal(http.StatusOK))
+		status, _ := get(second, "/a/x", "k1")
 		Expect(status).To(Equal(http.StatusOK))
 	})
 
-	It("sends requests where the operators' selectors say, also after a start without the store", func() {
+	It("routes by the operators' selectors, also after a start without the store", func() {
 		serveOne()
 		store.Put("keyed.servers", "i-2", fmt.Sprintf(`{"service":"s","address":%q,"zone":"east","capacity":6,"state":"ready"}`,
-			listen("127.0.0.1:0", signingServer(&served))))
+			serveForSpec("127.0.0.1:0", platformServer(&served))))
 		operator, err := daemon.ParseOperator("ops:change:" + daemon.HashSecret("token"))
 		Expect(err).NotTo(HaveOccurred())
-		run(platformdaemon.NewEntryDaemon(settings, []daemon.Operator{operator}, quietLog()))
-		Eventually(ready(settings), patience).Should(Equal(http.StatusOK))
+		startForSpec(platformdaemon.NewEntryDaemon(settings, []daemon.Operator{operator}, discardLog()))
+		Eventually(readyStatus(settings), testTimeout).Should(Equal(http.StatusOK))
 		servedBy := func(s *platform.Settings) func() string {
 			return func() string {
-				_, body := ask(s, "/a/x", "k1")
+				_, body := get(s, "/a/x", "k1")
 				return body
 			}
 		}
-		Eventually(servedBy(settings), patience).Should(Equal("for t by i-1"), "the entry's own zone")
+		Eventually(servedBy(settings), testTimeout).Should(Equal("for t by i-1"), "the entry's own zone")
 		api := rpc.NewOperatorsProtobufClient("http://"+settings.Control, &http.Client{Transport: tokenTransport{}})
 		Expect(apply(api, `
 kind: Customer
@@ -248,24 +252,24 @@
 name: eastwards
 route: {service: s, customers: "fleet=east", servers: "zone=east"}
 `)).To(Equal(rpc.Verdict_VERDICT_ACCEPTED))
-		Eventually(servedBy(settings), patience).Should(Equal("for t by i-2"))
+		Eventually(servedBy(settings), testTimeout).Should(Equal("for t by i-2"))
 		explained, err := api.Explain(context.Background(), &rpc.ExplainRequest{Customer: "t", Path: "h.example/a/x"})
 		Expect(err).NotTo(HaveOccurred())
 		Expect(explained.Route).To(Equal("r > eastwards"))
 		store.SetFaults(standin.Faults{Down: true})
 		second := entrySettings("127.0.0.2", settings.Store)
 		second.Seeds = []string{settings.Control}
-		run(platformdaemon.NewEntryDaemon(second, nil, quietLog()))
-		Eventually(ready(second), patience).Should(Equal(http.StatusOK))
+		startForSpec(platformdaemon.NewEntryDaemon(second, nil, discardLog()))
+		Eventually(readyStatus(second), testTimeout).Should(Equal(http.StatusOK))
 		Expect(servedBy(second)()).To(Equal("for t by i-2"))
 	})
 
-	It("learns a new configuration from another entry when its own long read hangs", func() {
+	It("receives a new configuration from a peer when its own long poll hangs", func() {
 		serveOne()
-		run(platformdaemon.NewEntryDaemon(settings, nil, quietLog()))
-		Eventually(ready(settings), patience).Should(Equal(http.StatusOK))
+		startForSpec(platformdaemon.NewEntryDaemon(settings, nil, discardLog()))
+		Eventually(readyStatus(settings), testTimeout).Should(Equal(http.StatusOK))
 		var registrationReads atomic.Int64
-		hanging := listen("127.0.0.1:0", http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		hanging := serveForSpec("127.0.0.1:0", http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			if r.URL.Query().Get("wait_ms") != "" {
 				<-r.Context().Done()
 				return
@@ -277,105 +281,105 @@
 		}))
 		second := entrySettings("127.0.0.2", hanging)
 		second.Seeds = []string{settings.Control}
-		run(platformdaemon.NewEntryDaemon(second, nil, quietLog()))
-		Eventually(ready(second), patience).Should(Equal(http.StatusOK))
+		startForSpec(platformdaemon.NewEntryDaemon(second, nil, discardLog()))
+		Eventually(readyStatus(second), testTimeout).Should(Equal(http.StatusOK))
 		store.Put(platform.TopicOperators, "config", configVersion(2, `"k2"`))
 		before := registrationReads.Load()
 		Eventually(func() int {
-			status, _ := ask(second, "/a/x", "k2")
+			status, _ := get(second, "/a/x", "k2")
 			return status
-		}, patience).Should(Equal(http.StatusOK))
-		// Registrations are read each 0.9 s here.
+		}, testTimeout).Should(Equal(http.StatusOK))
+		// Registrations are polled every 0.9 s.
 		Expect(registrationReads.Load() - before).To(BeNumerically("<=", 3))
 	})
 
-	It("finishes what is in flight when it's stopped, and is not ready meanwhile", func() {
+	It("finishes requests in flight when stopped, and is not ready meanwhile", func() {
 		store.Put(platform.TopicOperators, "config", configVersion(1, `"k1"`))
-		begun, release := make(chan struct{}), make(chan struct{})
-		address := listen("127.0.0.1:0", http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-			close(begun)
+		started, release := make(chan struct{}), make(chan struct{})
+		address := serveForSpec("127.0.0.1:0", http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+			close(started)
 			<-release
-			signingServer(&served).ServeHTTP(w, r)
+			platformServer(&served).ServeHTTP(w, r)
 		}))
 		store.Put("keyed.servers", "i-1", fmt.Sprintf(`{"service":"s","address":%q,"zone":"z","capacity":6,"state":"ready"}`, address))
-		stop := run(platformdaemon.NewEntryDaemon(settings, nil, quietLog()))
-		Eventually(ready(settings), patience).Should(Equal(http.StatusOK))
-		answered := make(chan int, 1)
+		stop := startForSpec(platformdaemon.NewEntryDaemon(settings, nil, discardLog()))
+		Eventually(readyStatus(settings), testTimeout).Should(Equal(http.StatusOK))
+		statuses := make(chan int, 1)
 		go func() {
 			defer GinkgoRecover()
-			status, _ := ask(settings, "/a/x", "k1")
-			answered <- status
+			status, _ := get(settings, "/a/x", "k1")
+			statuses <- status
 		}()
-		Eventually(begun, patience).Should(BeClosed())
+		Eventually(started, testTimeout).Should(BeClosed())
 		go func() {
 			defer GinkgoRecover()
-			Eventually(ready(settings), patience).Should(Equal(http.StatusServiceUnavailable))
+			Eventually(readyStatus(settings), testTimeout).Should(Equal(http.StatusServiceUnavailable))
 			close(release)
 		}()
 		stop()
-		Expect(answered).To(Receive(Equal(http.StatusOK)))
+		Expect(statuses).To(Receive(Equal(http.StatusOK)))
 	})
 })
 
-var _ = Describe("agents on the platform", func() {
-	It("agree on a holder that moves the hot expert's work, and no pass sees two maps", func() {
+var _ = Describe("agent daemons", func() {
+	It("elect a lease holder that rebalances experts, and no pass uses two maps", func() {
 		store := standin.NewStore()
-		settings := entrySettings("127.0.0.1", listen("127.0.0.1:0", store))
+		settings := entrySettings("127.0.0.1", serveForSpec("127.0.0.1:0", store))
 		store.Put(platform.TopicOperators, "config", configVersion(1, `"k1"`))
 		group := engine.NewGroup(engine.GroupOptions{Name: "g", Ranks: groupRanks, Experts: groupExperts, Layers: 1, PassTime: passTime})
 		base := freePorts("127.0.0.20")
 		stops := make([]func(), groupRanks)
 		for rank := range groupRanks {
 			ip := fmt.Sprintf("127.0.0.%d", 20+rank)
-			address := listen(ip+":0", group.Handler(rank, http.NotFoundHandler()))
+			address := serveForSpec(ip+":0", group.Handler(rank, http.NotFoundHandler()))
 			store.Put("keyed.servers", fmt.Sprint("r", rank), fmt.Sprintf(
 				`{"service":"m","address":%q,"zone":"z","capacity":12,"state":"ready","group":{"name":"g","epoch":1,"rank":%d,"state":"open"},"size":%d}`,
 				address, rank, groupRanks))
-			stops[rank] = run(platformdaemon.NewAgentDaemon(&platform.Settings{
+			stops[rank] = startForSpec(platformdaemon.NewAgentDaemon(&platform.Settings{
 				Daemon: fmt.Sprint("agent-", rank), IP: ip, Zone: "z", Store: settings.Store, Path: "none",
 				FirstPort: base, Seeds: []string{settings.Control}, LocalServer: address, EnginesFence: true,
-			}, quietLog()))
+			}, discardLog()))
 		}
-		run(platformdaemon.NewEntryDaemon(settings, nil, quietLog()))
+		startForSpec(platformdaemon.NewEntryDaemon(settings, nil, discardLog()))
 		ctx, cancel := context.WithCancel(context.Background())
 		DeferCleanup(cancel)
 		go group.Run(ctx)
 		maps := func() int { return len(group.State().Maps) }
-		Eventually(maps, patience).Should(BeNumerically(">", 1))
-		holder := holderOf(store)
+		Eventually(maps, testTimeout).Should(BeNumerically(">", 1))
+		holder := leaseHolder(store)
 		stops[holder]()
-		// Another agent takes over, and follows the next shift of demand.
+		// Another agent claims the lease and follows the next shift of demand.
 		before := maps()
-		Eventually(func() int { return len(leases(store)) }, patience).Should(BeNumerically(">", 1))
-		Expect(holderOf(store)).NotTo(Equal(holder))
-		Eventually(maps, patience).Should(BeNumerically(">", before))
+		Eventually(func() int { return len(leaseRecords(store)) }, testTimeout).Should(BeNumerically(">", 1))
+		Expect(leaseHolder(store)).NotTo(Equal(holder))
+		Eventually(maps, testTimeout).Should(BeNumerically(">", before))
 		Expect(group.State().MixedPasses).To(BeZero())
 	})
 })
 
-func leases(store *standin.Store) [][]byte { return store.Records("leases") }
+func leaseRecords(store *standin.Store) [][]byte { return store.Records("leases") }
 
-// holderOf returns the rank of the newest lease's holder.
-func holderOf(store *standin.Store) int {
-	all := leases(store)
+// leaseHolder returns the rank of the latest lease's holder.
+func leaseHolder(store *standin.Store) int {
+	records := leaseRecords(store)
 	for rank := range groupRanks {
-		if strings.Contains(string(all[len(all)-1]), fmt.Sprint("agent-", rank)) {
+		if strings.Contains(string(records[len(records)-1]), fmt.Sprint("agent-", rank)) {
 			return rank
 		}
 	}
-	Fail("no holder")
+	Fail("no lease holder")
 	return -1
 }
 
-// listen serves a handler at an address until the spec ends.
-func listen(address string, handler http.Handler) string {
-	at, stop := serveAt(address, handler)
+// serveForSpec serves a handler at an address until the spec ends.
+func serveForSpec(address string, handler http.Handler) string {
+	at, stop := serve(address, handler)
 	DeferCleanup(stop)
 	return at
 }
 
-// serveAt serves a handler at an address until stop is called.
-func serveAt(address string, handler http.Handler) (at string, stop func()) {
+// serve serves a handler at an address until stop is called.
+func serve(address string, handler http.Handler) (at string, stop func()) {
 	listener, err := net.Listen("tcp", address)
 	Expect(err).NotTo(HaveOccurred())
 	server := &http.Server{Handler: handler, ReadHeaderTimeout: time.Minute}
--- a/standins/platformdaemon/resting_test.go
+++ b/standins/platformdaemon/resting_test.go
@@ -14,33 +14,29 @@
 	. "github.com/onsi/gomega"
 )
 
-// The story of servers that ask for rest (internal/dispatch/rest_story_test.go), with an
-// entry's own connections and the headers that servers send.
-
 const (
-	// wireServers are behind the entry; each asks for wireRest at its first request, the
-	// last one for lastRest.
-	wireServers = 3
-	wireRest    = 1500 * time.Millisecond
-	lastRest    = 2500 * time.Millisecond
-	// wirePace is the pause between requests, which come one after the other: none is on its
-	// way as a server speaks.
-	wirePace = 20 * time.Millisecond
-	// wireRequests last until all have rested.
-	wireRequests = 200
+	// Each of restingServers servers asks for restTime at its first request, the last one for
+	// lastRestTime.
+	restingServers = 3
+	restTime       = 1500 * time.Millisecond
+	lastRestTime   = 2500 * time.Millisecond
+	// requestInterval is the pause between requests, which are sent in sequence: none is in flight
+	// when a server asks for rest.
+	requestInterval = 20 * time.Millisecond
+	// restRequests take longer than all rests.
+	restRequests = 200
 )
 
-// restingServer asks for rest at its first request, or says in all its answers that it
-// leaves.
+// restingServer asks for rest at its first request, or announces in each response that it leaves.
 type restingServer struct {
-	rest   time.Duration
-	leaves bool
+	rest    time.Duration
+	leaving bool
 
 	mu    sync.Mutex
 	count int
 	until time.Time
-	// against counts requests that came while it rested, or after it said that it leaves.
-	against int
+	// violations counts requests that arrived during the rest, or after the first announcement.
+	violations int
 }
 
 // ServeHTTP implements http.Handler.
@@ -48,11 +44,11 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.count++
-	if time.Now().Before(s.until) || (s.leaves && s.count > 1) {
-		s.against++
+	if time.Now().Before(s.until) || (s.leaving && s.count > 1) {
+		s.violations++
 	}
 	w.Header().Set("X-Attempt-Id", r.Header.Get("X-Attempt-Id"))
-	if s.leaves {
+	if s.leaving {
 		w.Header().Set("Server-Leaving", "1")
 	}
 	if s.count == 1 && s.rest > 0 {
@@ -63,98 +59,100 @@
 		return
 	}
 	w.Header().Set("X-Server-Stamp", "s")
-	fmt.Fprint(w, "an answer")
+	fmt.Fprint(w, "response")
 }
 
-// seen returns how many requests came, and how many of them against its word.
-func (s *restingServer) seen() (count, against int) {
+// counts returns the numbers of requests and of violations.
+func (s *restingServer) counts() (count, violations int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.count, s.against
+	return s.count, s.violations
 }
 
-// restLeft returns how much of its rest is left.
+// restLeft returns the remaining rest.
 func (s *restingServer) restLeft() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return time.Until(s.until)
 }
 
-// entryBefore starts an entry before some servers. add adds one more.
-func entryBefore(t *testing.T, servers ...*restingServer) (entry *platform.Settings, add func(*restingServer)) {
+// startEntryWithServers starts an entry that uses the servers; add registers one more.
+func startEntryWithServers(t *testing.T, servers ...*restingServer) (entry *platform.Settings, add func(*restingServer)) {
 	store, registered := standin.NewStore(), 0
-	serve := func(handler http.Handler) string {
-		address, stop := serveAt("127.0.0.1:0", handler)
+	serveForTest := func(handler http.Handler) string {
+		address, stop := serve("127.0.0.1:0", handler)
 		t.Cleanup(stop)
 		return address
 	}
 	add = func(server *restingServer) {
 		registered++
 		store.Put("keyed.servers", fmt.Sprint("i-", registered), fmt.Sprintf(
-			`{"service":"s","address":%q,"zone":"z","capacity":6,"state":"ready"}`, serve(server)))
+			`{"service":"s","address":%q,"zone":"z","capacity":6,"state":"ready"}`, serveForTest(server)))
 	}
 	store.Put(platform.TopicOperators, "config", configVersion(1, `"k1"`))
 	for _, server := range servers {
 		add(server)
 	}
-	entry = entrySettings("127.0.0.1", serve(store))
-	t.Cleanup(start(platformdaemon.NewEntryDaemon(entry, nil, quietLog())))
-	Eventually(ready(entry), patience).Should(Equal(http.StatusOK))
+	entry = entrySettings("127.0.0.1", serveForTest(store))
+	t.Cleanup(start(platformdaemon.NewEntryDaemon(entry, nil, discardLog())))
+	Eventually(readyStatus(entry), testTimeout).Should(Equal(http.StatusOK))
 	return entry, add
 }
 
-func TestServersRestOverHTTP(t *testing.T) {
+// A server that asks for rest by Retry-After gets no request until its rest is over.
+func TestRestingServerGetsNoRequestsOverHTTP(t *testing.T) {
 	RegisterTestingT(t)
 	var servers []*restingServer
-	for i := range wireServers {
-		rest := wireRest
-		if i == wireServers-1 {
-			rest = lastRest
+	for i := range restingServers {
+		rest := restTime
+		if i == restingServers-1 {
+			rest = lastRestTime
 		}
 		servers = append(servers, &restingServer{rest: rest})
 	}
-	entry, _ := entryBefore(t, servers...)
-	for range wireRequests {
-		// The first to have rested is the first that can take a request.
-		soonest := servers[0].restLeft()
+	entry, _ := startEntryWithServers(t, servers...)
+	for range restRequests {
+		// The server whose rest ends first is the first that can take a request.
+		shortest := servers[0].restLeft()
 		for _, server := range servers {
-			soonest = min(soonest, server.restLeft())
+			shortest = min(shortest, server.restLeft())
 		}
-		status, hint := askForHint(entry, "/a/x")
-		if status == http.StatusServiceUnavailable && soonest > 0 {
-			Expect(hint).To(BeNumerically(">=", soonest-wirePace), "the time to come back is true")
+		status, retryAfter := getRetryAfter(entry, "/a/x")
+		if status == http.StatusServiceUnavailable && shortest > 0 {
+			Expect(retryAfter).To(BeNumerically(">=", shortest-requestInterval), "Retry-After is not before the first rest ends")
 		}
-		time.Sleep(wirePace)
+		time.Sleep(requestInterval)
 	}
 	for i, server := range servers {
-		count, against := server.seen()
-		Expect(against).To(BeZero(), "requests that reached server %d while it rested", i)
+		count, violations := server.counts()
+		Expect(violations).To(BeZero(), "requests that reached server %d while it rested", i)
 		Expect(count).To(BeNumerically(">", 1), "server %d gets requests once it has rested", i)
 	}
 }
 
-func TestServerLeavesOverHTTP(t *testing.T) {
+// A server that announces that it leaves gets no further request, though it stays registered.
+func TestLeavingServerGetsNoRequestsOverHTTP(t *testing.T) {
 	RegisterTestingT(t)
-	leaving, next := &restingServer{leaves: true}, &restingServer{}
-	entry, add := entryBefore(t, leaving)
-	status, _ := askForHint(entry, "/a/x")
-	Expect(status).To(Equal(http.StatusOK), "the answer that says so is the caller's")
+	leaving, next := &restingServer{leaving: true}, &restingServer{}
+	entry, add := startEntryWithServers(t, leaving)
+	status, _ := getRetryAfter(entry, "/a/x")
+	Expect(status).To(Equal(http.StatusOK), "the response with the announcement is passed on")
 	for range 10 {
-		status, _ = askForHint(entry, "/a/x")
-		Expect(status).To(Equal(http.StatusServiceUnavailable), "there is no other server yet")
+		status, _ = getRetryAfter(entry, "/a/x")
+		Expect(status).To(Equal(http.StatusServiceUnavailable), "no other server is registered")
 	}
 	add(next)
 	Eventually(func() int {
-		status, _ := askForHint(entry, "/a/x")
+		status, _ := getRetryAfter(entry, "/a/x")
 		return status
-	}, patience).Should(Equal(http.StatusOK))
-	count, against := leaving.seen()
+	}, testTimeout).Should(Equal(http.StatusOK))
+	count, violations := leaving.counts()
 	Expect(count).To(Equal(1))
-	Expect(against).To(BeZero())
+	Expect(violations).To(BeZero())
 }
 
-// askForHint sends a request and returns the status and the hint to come back.
-func askForHint(s *platform.Settings, path string) (int, time.Duration) {
+// getRetryAfter sends a request and returns the status and the Retry-After time, 0 if absent.
+func getRetryAfter(s *platform.Settings, path string) (int, time.Duration) {
 	request, err := http.NewRequest(http.MethodGet, "http://"+s.Callers+path, nil)
 	Expect(err).NotTo(HaveOccurred())
 	request.Host = "h.example"
@@ -165,7 +163,7 @@
 	Expect(response.Body.Close()).To(Succeed())
 	seconds, err := strconv.ParseFloat(response.Header.Get("Retry-After"), 64)
 	if err != nil {
-		return response.StatusCode, 0 // none was given
+		return response.StatusCode, 0
 	}
 	return response.StatusCode, time.Duration(seconds * float64(time.Second))
 }
--- a/standins/platformdaemon/oldercopy_test.go
+++ b/standins/platformdaemon/restoredstore_test.go
@@ -13,48 +13,51 @@
 	. "github.com/onsi/gomega"
 )
 
-// twoEntries starts entries on a store, and returns what starts more and what one answers to a key.
-func twoEntries(t *testing.T, store *standin.Store) (entries []*platform.Settings, startEntry func(runner), answer func(entry *platform.Settings, key string) func() int) {
+// startTwoEntries starts entries on a store. It returns them, a function that starts more daemons, and
+// one that returns the status of a request with a key.
+func startTwoEntries(t *testing.T, store *standin.Store) (entries []*platform.Settings, startEntry func(runner), status func(entry *platform.Settings, key string) func() int) {
 	t.Helper()
 	RegisterTestingT(t)
-	address, stop := serveAt("127.0.0.1:0", store)
+	address, stop := serve("127.0.0.1:0", store)
 	t.Cleanup(stop)
 	store.Put(platform.TopicOperators, "config", configVersion(1, `"k1"`))
 	store.Put(platform.TopicOperators, "config", configVersion(2, `"k1"`))
-	startEntry = startTogether(t)
+	startEntry = newStarter(t)
 	for _, ip := range []string{"127.0.0.53", "127.0.0.54"} {
 		settings := entrySettings(ip, address)
 		if len(entries) > 0 {
 			settings.Seeds = []string{entries[0].Control}
 		}
 		entries = append(entries, settings)
-		startEntry(platformdaemon.NewEntryDaemon(settings, nil, quietLog()))
+		startEntry(platformdaemon.NewEntryDaemon(settings, nil, discardLog()))
 	}
 	return entries, startEntry, func(entry *platform.Settings, key string) func() int {
 		return func() int {
-			status, _ := ask(entry, "/a/x", key)
+			status, _ := get(entry, "/a/x", key)
 			return status
 		}
 	}
 }
 
-// register puts a server into the registry.
+// register writes a server's registration.
 func register(store *standin.Store, id, address, state string) {
 	store.Put(platform.TopicRegistrations, id, fmt.Sprintf(`{"service":"s","address":%q,"zone":"z","capacity":6,"state":%q}`, address, state))
 }
 
-// outage takes the store away for a moment, and brings it back from its copy.
-func outage(store *standin.Store) {
+// restoreStore makes the store unavailable for a moment and restores it from its backup.
+func restoreStore(store *standin.Store) {
 	store.SetFaults(standin.Faults{Down: true, OmitEra: true})
 	time.Sleep(500 * time.Millisecond)
 	store.RestoreBackup()
 	store.SetFaults(standin.Faults{})
 }
 
-func TestRevocationIsInForceAfterTheStoreCameBackOlder(t *testing.T) {
+// A revoked key must be refused although the restored store lacks configurations that entries
+// have applied.
+func TestRevokedKeyIsRefusedAfterStoreRestore(t *testing.T) {
 	store := standin.NewStore()
-	entries, _, answer := twoEntries(t, store)
-	server, stop := serveAt("127.0.0.1:0", &restingServer{})
+	entries, _, status := startTwoEntries(t, store)
+	server, stop := serve("127.0.0.1:0", &restingServer{})
 	t.Cleanup(stop)
 	register(store, "i-1", server, "ready")
 	version := 2
@@ -62,51 +65,53 @@
 		version++
 		store.Put(platform.TopicOperators, "config", configVersion(version, keys))
 	}
-	// The log ends one below, level with, one past what was read: two configurations are lost.
+	// Two configurations are lost. The restored log ends one offset before, at, and one after the
+	// last one read.
 	for round := range 3 {
 		revoked, added := fmt.Sprint("a", round), fmt.Sprint("b", round)
 		store.TakeBackup()
 		configure(fmt.Sprintf("%q", revoked))
 		configure(fmt.Sprintf("%q,%q", revoked, added))
 		for _, entry := range entries {
-			Eventually(answer(entry, added), patience).Should(Equal(http.StatusOK))
+			Eventually(status(entry, added), testTimeout).Should(Equal(http.StatusOK))
 		}
 
-		outage(store)
+		restoreStore(store)
 		configure(fmt.Sprintf("%q", added))
 		for range round {
 			store.Put(platform.TopicOperators, "other", "x")
 		}
 		for _, entry := range entries {
-			Eventually(answer(entry, revoked), hearsWithin).Should(Equal(http.StatusUnauthorized), "round %d", round)
-			Expect(answer(entry, added)()).To(Equal(http.StatusOK))
+			Eventually(status(entry, revoked), propagationTimeout).Should(Equal(http.StatusUnauthorized), "round %d", round)
+			Expect(status(entry, added)()).To(Equal(http.StatusOK))
 		}
 	}
 }
 
-func TestServersComeAndLeaveAfterTheStoreCameBackOlder(t *testing.T) {
+// Registrations written after a restore must apply although the log's offsets were used before.
+func TestRegistrationsApplyAfterStoreRestore(t *testing.T) {
 	store := standin.NewStore()
-	store.SetFaults(standin.Faults{OmitEra: true}) // until it comes back
-	entries, _, answer := twoEntries(t, store)
+	store.SetFaults(standin.Faults{OmitEra: true}) // until it is restored
+	entries, _, status := startTwoEntries(t, store)
 	servers := map[string]*restingServer{}
 	addresses := map[string]string{}
 	for _, id := range []string{"i-1", "i-2", "i-3"} {
 		servers[id] = &restingServer{}
-		address, stop := serveAt("127.0.0.1:0", servers[id])
+		address, stop := serve("127.0.0.1:0", servers[id])
 		t.Cleanup(stop)
 		addresses[id] = address
 	}
 	count := func(id string) int {
-		seen, _ := servers[id].seen()
-		return seen
+		counts, _ := servers[id].counts()
+		return counts
 	}
-	// served is how many of some requests reach a server.
+	// served returns a function that sends requests and counts those that reach a server.
 	served := func(id string) func() int {
 		return func() int {
 			before := count(id)
 			for range 10 {
 				for _, entry := range entries {
-					answer(entry, "k1")()
+					status(entry, "k1")()
 				}
 			}
 			return count(id) - before
@@ -117,34 +122,35 @@
 	register(store, "i-2", addresses["i-2"], "ready")
 	register(store, "other", addresses["i-3"], "draining")
 	for _, entry := range entries {
-		Eventually(answer(entry, "k1"), patience).Should(Equal(http.StatusOK))
+		Eventually(status(entry, "k1"), testTimeout).Should(Equal(http.StatusOK))
 	}
 
-	outage(store)
+	restoreStore(store)
 	register(store, "i-2", addresses["i-2"], "draining")
-	Eventually(served("i-2"), hearsWithin).Should(BeZero(), "a server that leaves after the return")
+	Eventually(served("i-2"), propagationTimeout).Should(BeZero(), "a server that leaves after the restore")
 	register(store, "i-3", addresses["i-3"], "ready")
-	Eventually(served("i-3"), hearsWithin).Should(Equal(20), "a server that comes after the return")
+	Eventually(served("i-3"), propagationTimeout).Should(Equal(20), "a server that registers after the restore")
 	Expect(served("i-1")() + served("i-2")()).To(BeZero())
 }
 
-func TestStartedEntryAsksForWhatTheOlderCopyLacks(t *testing.T) {
+// An entry that starts after a restore must take from a peer the configuration that the store lacks.
+func TestStartedEntryGetsLostConfigurationFromPeer(t *testing.T) {
 	store := standin.NewStore()
-	entries, startEntry, answer := twoEntries(t, store)
-	server, stop := serveAt("127.0.0.1:0", &restingServer{})
+	entries, startEntry, status := startTwoEntries(t, store)
+	server, stop := serve("127.0.0.1:0", &restingServer{})
 	t.Cleanup(stop)
 	register(store, "i-1", server, "ready")
 	store.TakeBackup()
 	store.Put(platform.TopicOperators, "config", configVersion(3, `"k2"`))
 	for _, entry := range entries {
-		Eventually(answer(entry, "k2"), patience).Should(Equal(http.StatusOK))
+		Eventually(status(entry, "k2"), testTimeout).Should(Equal(http.StatusOK))
 	}
 
-	outage(store)
+	restoreStore(store)
 	ip, _, _ := strings.Cut(entries[0].Control, ":")
 	settings := entrySettings(ip, entries[0].Store)
 	settings.Seeds = []string{entries[1].Control}
-	startEntry(platformdaemon.NewEntryDaemon(settings, nil, quietLog()))
-	Eventually(answer(settings, "k2"), hearsWithin).Should(Equal(http.StatusOK))
-	Expect(answer(settings, "k1")()).To(Equal(http.StatusUnauthorized))
+	startEntry(platformdaemon.NewEntryDaemon(settings, nil, discardLog()))
+	Eventually(status(settings, "k2"), propagationTimeout).Should(Equal(http.StatusOK))
+	Expect(status(settings, "k1")()).To(Equal(http.StatusUnauthorized))
 }
