--- a/standins/harness/cluster.go
+++ b/standins/harness/cluster.go
@@ -14,7 +14,7 @@
 	"github.com/pkg/errors"
 )
 
-// Cluster is a running deployment.
+// Cluster is a deployment of local processes.
 type Cluster struct {
 	Layout    Layout
 	Entries   []Entry
@@ -22,20 +22,19 @@
 	Processes map[string]*Process
 	// Keys are the customers' API keys.
 	Keys []string
-	// PlatformURL is the platform stand-in's control port.
+	// PlatformURL is the URL of the platform double's control port.
 	PlatformURL string
 
 	bin, dir          string
-	platformAddresses map[string]string // the platform's address by zone
-	linkAddresses     map[string]string // addresses by zone and entry
+	platformAddresses map[string]string // address of the platform double, by zone
+	linkAddresses     map[string]string // address of the link to an entry, by zone + entry name
 	startOrder        []string
-	rankAddresses     []string // addresses of the engines in the group, by rank
-	// groupURL is the control port of the group's stand-in.
-	groupURL string
-	proxyURL string
+	rankAddresses     []string // addresses of the group's engines, by rank
+	groupURL          string   // control port of the group's engines
+	proxyURL          string   // control port of the fault proxy
 }
 
-// The harness's group of ranks.
+// The group of ranks.
 const (
 	GroupName    = "g1"
 	groupService = "expert-writer"
@@ -44,10 +43,11 @@
 	groupSlots   = 8
 )
 
-// Customers of the harness's deployments.
+// customerNames are the customers of each deployment.
 var customerNames = []string{"rozsa", "tulipan", "szegfu"}
 
-// New lays out a deployment whose binaries are in bin and whose logs go to dir.
+// New returns a deployment that isn't started yet. It takes binaries from bin and writes logs
+// to dir.
 func New(layout Layout, bin, dir string) (*Cluster, error) {
 	c := &Cluster{
 		Layout: layout, Processes: map[string]*Process{},
@@ -107,7 +107,7 @@
 	return c.awaitRouting()
 }
 
-// awaitRouting waits until every entry has heard from every server.
+// awaitRouting waits until every entry has a load report of every server.
 func (c *Cluster) awaitRouting() error {
 	deadline := time.Now().Add(readyTimeout)
 	for _, e := range c.Entries {
@@ -125,7 +125,7 @@
 	return nil
 }
 
-// Callers returns the addresses for callers of the entries that run.
+// CallerAddresses returns the addresses at which the running entries accept requests.
 func (c *Cluster) CallerAddresses() []string {
 	var running []string
 	for _, e := range c.Entries {
@@ -136,12 +136,12 @@
 	return running
 }
 
-// ProxyMode sets what the relay between entries and agents does.
+// SetProxyMode sets the mode of the fault proxy between entries and agents.
 func (c *Cluster) SetProxyMode(mode faultproxy.Mode) error {
 	return putFault(c.proxyURL+"/mode/"+string(mode), "")
 }
 
-// Fault sets a fault at the platform, such as `log` with a JSON body.
+// InjectFault sets a fault of the platform double, for example /fault/log with a JSON body.
 func (c *Cluster) InjectFault(path, body string) error {
 	return putFault(c.PlatformURL+path, body)
 }
@@ -161,22 +161,22 @@
 	return errors.Wrap(response.Body.Close(), "fault")
 }
 
-// Group returns what the group's ranks did so far.
+// GroupState returns the statistics of the group's ranks.
 func (c *Cluster) GroupState() (*engine.GroupState, error) {
 	response, err := http.Get(c.groupURL + "/state")
 	if err != nil {
 		return nil, errors.Wrap(err, "group")
 	}
-	defer func() { _ = response.Body.Close() }() // decoded below
+	defer func() { _ = response.Body.Close() }() // read to its end below
 	var state engine.GroupState
 	return &state, errors.Wrap(json.NewDecoder(response.Body).Decode(&state), "group")
 }
 
-// GroupFault sets a fault at the group's engines, such as down/0/true.
+// InjectGroupFault sets a fault of the group's engines, for example down/0/true.
 func (c *Cluster) InjectGroupFault(path string) error { return putFault(c.groupURL+"/"+path, "") }
 
-// Holder returns the name of the process that holds the group's lease, as an
-// entry that answers tells it.
+// LeaseHolder returns the name of the process that holds the group's lease according to the
+// first reachable entry.
 func (c *Cluster) LeaseHolder() (string, error) {
 	out, err := c.RunCLI("status")
 	if err != nil {
@@ -187,11 +187,11 @@
 			return "agent-" + fields[3], nil
 		}
 	}
-	return "", errors.Errorf("nobody holds the lease:\n%s", out)
+	return "", errors.Errorf("no process holds the lease:\n%s", out)
 }
 
-// StopAll stops entries, then agents, gracefully, and ends the rest. It returns
-// the first planned stop that failed.
+// StopAll stops entries and then agents gracefully, and kills all other processes. It
+// returns the error of the first graceful stop that failed.
 func (c *Cluster) StopAll() error {
 	var first error
 	for _, prefix := range []string{"entry-", "agent-"} {
@@ -209,11 +209,11 @@
 	return first
 }
 
-// KillAll ends every process at once.
+// KillAll kills all running processes.
 func (c *Cluster) KillAll() {
 	for _, name := range slices.Backward(c.startOrder) {
 		if process := c.Processes[name]; process.Running() {
-			_ = process.Kill() // it ended by itself meanwhile
+			_ = process.Kill() // fails if the process has just exited
 		}
 	}
 }
--- a/standins/harness/layout.go
+++ b/standins/harness/layout.go
@@ -9,35 +9,34 @@
 	"github.com/crowbridge/crowbridge/internal/daemon"
 )
 
-// Layout is the deployment's size.
+// Layout configures a deployment.
 type Layout struct {
 	Zones          []string
 	EntriesPerZone int
 	EnginesPerZone int
 	PlainPerZone   int
-	// Links puts a relay process between the daemons of each zone and the entries of
-	// the others, named link-ZONE.
+	// ZoneLinks routes the traffic from the daemons of each zone to the entries of other
+	// zones through a proxy process named link-ZONE.
 	ZoneLinks bool
-	// RanksPerZone makes a group of ranks over all zones.
+	// RanksPerZone adds a group of ranks that spans all zones.
 	RanksPerZone int
-	// Proxy puts a relay process between entries and agents, named proxy, whose mode
-	// ProxyMode sets.
+	// Proxy routes the traffic between entries and agents through a process named proxy. See
+	// Cluster.SetProxyMode.
 	Proxy bool
-	// IgnoreFences makes the group's engines take orders with old fencing numbers.
+	// IgnoreFences makes the group's engines execute commands with outdated fencing tokens.
 	IgnoreFences bool
-	// Step of the stand-in servers.
+	// StepTime is the duration of a step of the simulated engines.
 	StepTime time.Duration
-	// KeyWindowSeconds and ClockSkewMs go into the policy.
+	// KeyWindowSeconds and ClockSkewMs are settings of the policy.
 	KeyWindowSeconds int
 	ClockSkewMs      int
-	// Drain bounds a planned stop.
+	// DrainTimeout bounds a graceful stop.
 	DrainTimeout time.Duration
-	// Quiet logs warnings only and counts no executions, for measurements.
+	// Quiet limits logs to warnings and disables the count of executions, for benchmarks.
 	Quiet bool
-	// EntryArgs and AgentArgs are added to the daemons' settings, and win over them.
+	// EntryArgs and AgentArgs are appended to the daemons' arguments and override them.
 	EntryArgs, AgentArgs []string
-	// NoBackends starts agents without the servers behind them, to measure control
-	// traffic alone.
+	// NoBackends starts agents without backend servers, to measure control traffic alone.
 	NoBackends bool
 }
 
@@ -48,32 +47,31 @@
 	return "debug"
 }
 
-// Backend is the address of the backend server itself.
+// BackendAddress returns the address of the backend server itself.
 func (s *Server) BackendAddress() string { return s.backend }
 
-// Secrets of the harness's deployments.
+// Secrets of each deployment.
 const (
 	DaemonKey     = "harness-daemon-key"
 	operatorToken = "harness-operator-token"
 	readerToken   = "harness-reader-token"
 )
 
-// Server is one backend server with its agent.
+// Server is a backend server and its agent.
 type Server struct {
 	Name, Zone, Service string
 	Protocol            string
-	// Group is set for a rank of the group; Rank is its number.
-	Group   string
-	Rank    int
-	backend string
-	address string
-	control string
-	metrics string
-	// proxied is the address at which entries reach the agent by the proxy, or empty.
+	Group               string // of ranks; empty for other servers
+	Rank                int
+	backend             string
+	address             string
+	control             string
+	metrics             string
+	// proxyAddress is the agent's address at the proxy, or empty.
 	proxyAddress string
 }
 
-// reached is where entries reach the agent.
+// dialAddress returns the address at which entries reach the agent.
 func (s *Server) dialAddress() string {
 	if s.proxyAddress != "" {
 		return s.proxyAddress
@@ -81,7 +79,7 @@
 	return s.address
 }
 
-// Entry is one entry.
+// Entry contains the name and the addresses of an entry.
 type Entry struct {
 	Name, Zone     string
 	CallerAddress  string
@@ -89,10 +87,10 @@
 	metrics        string
 }
 
-// Metrics is the address of the entry's metrics port.
+// MetricsAddress returns the address of the entry's metrics port.
 func (e *Entry) MetricsAddress() string { return e.metrics }
 
-// addLinks lays a relay between each zone's daemons and the entries elsewhere.
+// addLinks adds a proxy between each zone's daemons and the entries of other zones.
 func (c *Cluster) addLinks() error {
 	for _, zone := range c.Layout.Zones {
 		args := []string{"relay"}
@@ -116,7 +114,7 @@
 	return nil
 }
 
-// addProxy lays a relay between the entries and the agents.
+// addProxy adds a proxy between the entries and the agents.
 func (c *Cluster) addProxy() error {
 	if !c.Layout.Proxy {
 		return nil
@@ -139,7 +137,7 @@
 	return nil
 }
 
-// addGroup lays the stand-in of the group's engines, one process for all ranks.
+// addGroup adds the engines of the group, in one process.
 func (c *Cluster) addGroup() error {
 	if len(c.rankAddresses) == 0 {
 		return nil
@@ -280,7 +278,7 @@
 	}
 }
 
-// peerArgs names the entries as the daemons of a zone reach them.
+// peerArgs returns the arguments that name all entries for the daemons of a zone.
 func (c *Cluster) peerArgs(zone string) []string {
 	var args []string
 	for _, e := range c.Entries {
--- a/standins/harness/manifest.go
+++ b/standins/harness/manifest.go
@@ -7,7 +7,7 @@
 	"github.com/crowbridge/crowbridge/internal/daemon"
 )
 
-// Manifest returns the deployment's configuration.
+// Manifest returns the deployment's configuration as YAML.
 func (c *Cluster) Manifest() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "kind: Policy\nname: default\npolicy: {keyWindowSeconds: %d, clockSkewMs: %d}\n", c.Layout.KeyWindowSeconds, c.Layout.ClockSkewMs)
--- a/standins/harness/operator.go
+++ b/standins/harness/operator.go
@@ -10,7 +10,7 @@
 	"github.com/pkg/errors"
 )
 
-// Operator runs the operators' command line against all entries in turn.
+// RunCLI runs the operators' CLI, which tries all entries in turn, and returns its output.
 func (c *Cluster) RunCLI(args ...string) (string, error) {
 	controls := make([]string, 0, len(c.Entries))
 	for _, e := range c.Entries {
@@ -19,13 +19,12 @@
 	return c.RunCLIAt(strings.Join(controls, ","), args...)
 }
 
-// OperatorAt runs the operators' command line against the given entries.
+// RunCLIAt runs the operators' CLI against the given control addresses, separated by commas.
 func (c *Cluster) RunCLIAt(controls string, args ...string) (string, error) {
 	return c.runCLI(operatorToken, controls, args)
 }
 
-// Reader runs the operators' command line with the token of somebody who may
-// only read.
+// RunReadOnlyCLI runs the operators' CLI with a read-only token.
 func (c *Cluster) RunReadOnlyCLI(args ...string) (string, error) {
 	return c.runCLI(readerToken, c.Entries[0].ControlAddress, args)
 }
--- a/standins/harness/process.go
+++ b/standins/harness/process.go
@@ -1,5 +1,5 @@
-// Package harness runs a deployment of separate processes on one machine, for
-// the demo and the scenarios.
+// Package harness runs a deployment of separate processes on one machine, for the demo,
+// the scenario tests, the fault soak and benchmarks.
 package harness
 
 import (
@@ -16,7 +16,7 @@
 	"github.com/pkg/errors"
 )
 
-// Process is one process that the harness started.
+// Process is a process of a Cluster.
 type Process struct {
 	Name         string
 	binary       string
@@ -36,7 +36,7 @@
 	stopTimeout  = 40 * time.Second
 )
 
-// Start runs the process and waits until it serves.
+// Start starts the process and waits until it accepts connections.
 func (p *Process) Start() error {
 	log, err := os.OpenFile(p.logPath, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
@@ -44,7 +44,7 @@
 	}
 	cmd := exec.Command(p.binary, p.args...)
 	cmd.Stdout, cmd.Stderr = log, log
-	// A process of ours must not outlive the harness.
+	// The kernel kills the process when the harness exits.
 	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	if err := cmd.Start(); err != nil {
 		return errors.Wrap(err, p.Name)
@@ -55,7 +55,7 @@
 	p.mu.Unlock()
 	go func() {
 		err := cmd.Wait()
-		_ = log.Close() // the process has written its last line
+		_ = log.Close() // the process has exited
 		p.mu.Lock()
 		p.err = err
 		p.mu.Unlock()
@@ -69,7 +69,7 @@
 	for time.Now().Before(deadline) {
 		select {
 		case <-exited:
-			return errors.Errorf("%s ended at its start; see %s", p.Name, p.logPath)
+			return errors.Errorf("%s exited during its start; see %s", p.Name, p.logPath)
 		default:
 		}
 		conn, err := net.DialTimeout("tcp", p.readyAddress, readyPoll)
@@ -78,17 +78,17 @@
 		}
 		time.Sleep(readyPoll)
 	}
-	return errors.Errorf("%s doesn't serve on %s; see %s", p.Name, p.readyAddress, p.logPath)
+	return errors.Errorf("%s doesn't accept connections on %s; see %s", p.Name, p.readyAddress, p.logPath)
 }
 
-// Signal sends a signal.
+// Signal sends a signal to the process.
 func (p *Process) Signal(signal syscall.Signal) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return errors.Wrap(p.cmd.Process.Signal(signal), p.Name)
 }
 
-// Kill ends the process at once and waits for it.
+// Kill kills the process and waits until it has exited.
 func (p *Process) Kill() error {
 	if err := p.Signal(syscall.SIGKILL); err != nil {
 		return err
@@ -97,8 +97,8 @@
 	return nil
 }
 
-// Stop asks for a planned stop and waits for it. An exit code other than 0 is
-// an error.
+// Stop stops the process gracefully and waits until it has exited. It returns an error if
+// the exit code isn't 0.
 func (p *Process) Stop() error {
 	if err := p.Signal(syscall.SIGTERM); err != nil {
 		return err
@@ -106,7 +106,7 @@
 	return p.AwaitExit()
 }
 
-// Ended waits for a process that was asked to stop.
+// AwaitExit waits until the process has exited. It returns an error if the exit code isn't 0.
 func (p *Process) AwaitExit() error {
 	select {
 	case <-p.exited:
@@ -114,18 +114,18 @@
 		defer p.mu.Unlock()
 		return errors.Wrapf(p.err, "%s; see %s", p.Name, p.logPath)
 	case <-time.After(stopTimeout):
-		return errors.Errorf("%s doesn't stop; see %s", p.Name, p.logPath)
+		return errors.Errorf("%s did not exit within the stop timeout; see %s", p.Name, p.logPath)
 	}
 }
 
-// PID is the process's number.
+// PID returns the process ID.
 func (p *Process) PID() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.cmd.Process.Pid
 }
 
-// Running tells whether the process has not ended.
+// Running reports whether the process has been started and hasn't exited.
 func (p *Process) Running() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -140,13 +140,13 @@
 	}
 }
 
-// Ports below those that the system gives to outgoing connections, so that
-// nothing else takes one between its choice and its use.
+// Ports are below the ephemeral range, so that no outgoing connection takes one between its
+// choice and its use.
 const (
 	firstPort = 18000
 	lastPort  = 32000
-	// portSpread puts processes whose numbers follow each other far apart in that
-	// range, by the golden ratio: each walks on from where it began.
+	// portStride separates the first ports of processes with consecutive IDs: it is the
+	// length of the range divided by the golden ratio.
 	portStride = 8653
 )
 
@@ -154,16 +154,15 @@
 
 func init() { nextPort.Store(int64(firstPort + os.Getpid()*portStride%(lastPort-firstPort))) }
 
-// ownLoopback is an address of this process's own: of two deployments side by side, neither
-// takes a port of the other's while a process there is down. An entry that was to start again
-// once found its port in use, and its callers got wrong answers (soak seed 424).
+// processLoopback returns a loopback address that is derived from the process ID. Concurrent
+// deployments don't share addresses, so neither can take the port of a process of the other
+// that is down.
 func processLoopback() string {
 	pid := os.Getpid()
 	return fmt.Sprintf("127.%d.%d.%d", 64+pid>>16&63, pid>>8&255, pid&255)
 }
 
-// freeAddress returns a loopback address that no other caller in this process
-// gets, and that is free.
+// freeAddress returns an unused loopback address, a different one on each call.
 func freeAddress() (string, error) {
 	for range lastPort - firstPort {
 		port := firstPort + nextPort.Add(1)%(lastPort-firstPort)
