--- a/internal/experts/commands.go
+++ b/internal/experts/commands.go
@@ -32,9 +32,9 @@
 	case StageRelease:
 		command.Operation = Release
 		return []RankCommand{{Rank: s.holdRank, Command: command, Direct: true}}
-	case StageUndo:
+	case StageDisarm:
 		return s.disarmCommands(command)
-	case StageBurn:
+	case StageInvalidate:
 		command.Operation, command.Map = Prepare, s.currentMap
 		return s.exceptFormerHolder(s.toUnconfirmed(command))
 	case StageIdle, StageSettle:
--- a/internal/experts/currentmap.go
+++ b/internal/experts/currentmap.go
@@ -6,7 +6,7 @@
 
 // adoptCurrentMap sets the placement from the experts that the ranks report.
 func (h *Holder) adoptCurrentMap() {
-	lists, complete := h.expertsBySet()
+	lists, complete := h.expertsByLayer()
 	h.state.SetCurrentMap(lists)
 	if !complete || !h.state.Ready() {
 		return
@@ -21,7 +21,7 @@
 
 // expertsBySet returns the reported experts by set and rank, and whether all ranks
 // reported theirs. A rank without report is assigned the experts that no other has.
-func (h *Holder) expertsBySet() (lists [][][]int, complete bool) {
+func (h *Holder) expertsByLayer() (lists [][][]int, complete bool) {
 	complete = true
 	lists = make([][][]int, h.shape.Layers)
 	for set := range lists {
--- a/internal/experts/holder.go
+++ b/internal/experts/holder.go
@@ -126,10 +126,10 @@
 // since operators may change it.
 func NewHolder(ranks RankClient, lease Lease, policy func() Policy, now func() time.Time, log *logrus.Entry) *Holder {
 	shape := rebalance.Shape{
-		Ranks: lease.Size, Experts: lease.Engine.Experts, Layers: lease.Engine.Sets, Slots: lease.Engine.Placements,
+		Ranks: lease.Size, Experts: lease.Engine.Experts, Layers: lease.Engine.Layers, Slots: lease.Engine.SlotsPerRank,
 	}
 	state := NewMapSwitch(now(), lease.Fence, lease.OwnRank, lease.FormerRank, lease.Size)
-	state.SetArmingPasses(int64(lease.Size / ranksPerLeadPass))
+	state.SetLeadPasses(int64(lease.Size / ranksPerLeadPass))
 	return &Holder{
 		ranks: ranks, lease: lease, policy: policy, now: now, log: log.WithField("fence", lease.Fence),
 		state: state, demand: NewDemand(shape, policy().HalfLife),
@@ -249,7 +249,7 @@
 			all.Go(func() { h.sendCommand(ctx, command) })
 		}
 		all.Wait()
-		h.updateArmingPasses(stage)
+		h.updateLeadPasses(stage)
 		same := h.state.Stage() == stage && h.state.pass == pass
 		if h.state.Stage() == StagePrepare || (same && len(h.state.PendingCommands()) >= pending) {
 			return
--- a/internal/experts/holder_test.go
+++ b/internal/experts/holder_test.go
@@ -79,7 +79,7 @@
 		ranks := &ranksWithPopularity{popularity: []float64{9000, 400, 300, 300}}
 		lease := Lease{
 			ClaimResult: ClaimResult{Fence: 2, Newest: 2, FormerRank: -1}, Size: 2,
-			Engine: &fleet.EngineModel{Experts: 4, Sets: 1, Placements: 3, ExpertShare: 1, CopyTime: 400 * time.Millisecond},
+			Engine: &fleet.EngineModel{Experts: 4, Layers: 1, SlotsPerRank: 3, ExpertShare: 1, CopyTime: 400 * time.Millisecond},
 		}
 		h := NewHolder(ranks, lease, func() Policy { return DefaultPolicy }, func() time.Time { return now }, logrus.NewEntry(logger))
 		observe := func() {
@@ -112,13 +112,13 @@
 		ranks := &ranksWithHold{}
 		lease := Lease{
 			ClaimResult: ClaimResult{Fence: 2, Newest: 2, FormerRank: formerRank}, Size: 3,
-			Engine: &fleet.EngineModel{Experts: 3, Sets: 1, Placements: 2},
+			Engine: &fleet.EngineModel{Experts: 3, Layers: 1, SlotsPerRank: 2},
 		}
 		h := NewHolder(ranks, lease, func() Policy { return DefaultPolicy }, func() time.Time { return now }, logrus.NewEntry(logger))
 		h.observe(context.Background())
 		now = now.Add(maxReportAge + time.Millisecond)
 		h.observe(context.Background())
-		Expect(h.state.Stage()).To(Equal(StageUndo))
+		Expect(h.state.Stage()).To(Equal(StageDisarm))
 		bounded, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 		defer cancel()
 		h.sendCommands(bounded)
--- a/internal/experts/model_mutants_test.go
+++ b/internal/experts/model_mutants_test.go
@@ -69,7 +69,7 @@
 		}
 	}},
 	{name: "successor undoes without burning the version", after: func(s *MapSwitch) {
-		if s.stage == StageBurn {
+		if s.stage == StageInvalidate {
 			s.version = s.reports[1].Map
 			s.enter(StageRelease)
 		}
--- a/internal/experts/model_test.go
+++ b/internal/experts/model_test.go
@@ -265,7 +265,7 @@
 }
 
 // TestOneMapInEveryPassExhaustive checks the invariant by breadth-first search.
-func TestOneMapInEveryPassExhaustive(t *testing.T) {
+func TestOneMapInEveryPassBreadthFirst(t *testing.T) {
 	const maxStates = 100_000
 	visited := map[string]bool{}
 	start := newModel()
--- a/internal/experts/results.go
+++ b/internal/experts/results.go
@@ -21,8 +21,8 @@
 	}
 	switch command.Operation {
 	case Prepare:
-		if s.stage == StageBurn {
-			s.handleBurnResult(rank, result)
+		if s.stage == StageInvalidate {
+			s.handleInvalidateResult(rank, result)
 		} else {
 			s.handlePrepareResult(rank, result)
 		}
@@ -43,14 +43,14 @@
 		return false
 	}
 	if command.Operation == Disarm {
-		return s.stage == StageUndo && command.Pass == s.pass
+		return s.stage == StageDisarm && command.Pass == s.pass
 	}
 	if command.Version != s.version {
 		return false
 	}
 	switch command.Operation {
 	case Prepare:
-		return s.stage == StagePrepare || s.stage == StageBurn
+		return s.stage == StagePrepare || s.stage == StageInvalidate
 	case Hold:
 		return s.stage == StageHold && command.Pass == s.pass && rank == s.holdRank
 	case Arm:
--- a/internal/experts/stage.go
+++ b/internal/experts/stage.go
@@ -18,10 +18,10 @@
 	// StageSettle waits until every rank reports the new map.
 	StageSettle
 	// StageUndo disarms what the former holder armed, before a release.
-	StageUndo
+	StageDisarm
 	// StageBurn prepares a version that is never used, so that a delayed Arm of the
 	// former holder fails: its version is no longer the prepared one.
-	StageBurn
+	StageInvalidate
 )
 
 // String returns the name used in logs.
--- a/internal/experts/switch.go
+++ b/internal/experts/switch.go
@@ -163,7 +163,7 @@
 }
 
 // SetArmingPasses sets how many passes it takes to arm all ranks.
-func (s *MapSwitch) SetArmingPasses(passes int64) { s.leadPasses = min(passes, maxLeadPasses) }
+func (s *MapSwitch) SetLeadPasses(passes int64) { s.leadPasses = min(passes, maxLeadPasses) }
 
 func (s *MapSwitch) enter(stage Stage) {
 	s.stage = stage
@@ -196,7 +196,7 @@
 		if s.newestPass() >= s.pass {
 			s.enter(StageSettle)
 		}
-	case StageUndo, StageBurn:
+	case StageDisarm, StageInvalidate:
 		if s.newestPass() >= s.pass {
 			s.enter(StageIdle)
 		}
--- a/internal/experts/takeover.go
+++ b/internal/experts/takeover.go
@@ -17,7 +17,7 @@
 		s.completeSwitch()
 	case s.onlyFormerHolderMissing() && s.anyUnarmed():
 		s.holdRank, s.pass = rank, s.reports[rank].Held
-		s.enter(StageUndo)
+		s.enter(StageDisarm)
 	}
 }
 
@@ -93,15 +93,15 @@
 	if s.confirm(rank) {
 		s.version = s.lastVersion + 1
 		s.lastVersion = s.version
-		s.enter(StageBurn)
+		s.enter(StageInvalidate)
 	}
 }
 
 // handleBurnResult records the result of preparing the unused version. A refusal means
 // that a delayed Arm was executed, or that the rank already had the version.
-func (s *MapSwitch) handleBurnResult(rank int, result Result) {
+func (s *MapSwitch) handleInvalidateResult(rank int, result Result) {
 	if result != Accepted {
-		s.enter(StageUndo)
+		s.enter(StageDisarm)
 		return
 	}
 	if s.confirm(rank) {
--- a/internal/experts/timing.go
+++ b/internal/experts/timing.go
@@ -34,13 +34,13 @@
 
 // updateArmingPasses times the arming of all ranks and sets the lead of the next
 // switch. A lead that is too short holds a pass and delays every stream.
-func (h *Holder) updateArmingPasses(before Stage) {
+func (h *Holder) updateLeadPasses(before Stage) {
 	now := h.now()
 	switch {
 	case before == StageHold && h.state.Stage() == StageArm:
 		h.armingStartedAt = now
 	case before == StageArm && h.state.Stage() != StageArm && h.passTime > 0 && !h.armingStartedAt.IsZero():
-		h.state.SetArmingPasses(leadPasses(now.Sub(h.armingStartedAt), h.passTime))
+		h.state.SetLeadPasses(leadPasses(now.Sub(h.armingStartedAt), h.passTime))
 		h.armingStartedAt = time.Time{}
 	}
 }
--- a/internal/fleet/config.go
+++ b/internal/fleet/config.go
@@ -69,7 +69,7 @@
 	StepPerRequest time.Duration
 	// Sets, Experts and Placements are the shape of an expert map: the number of sets of layers,
 	// the number of experts per set, and the maximum number of experts of a set on a rank.
-	Sets, Experts, Placements int
+	Layers, Experts, SlotsPerRank int
 	// MaxNewPerPrepare limits the experts of a set that one prepare command may add to a rank.
 	MaxNewPerPrepare int
 	// ExpertShare is the fraction of a step's work that experts do.
--- a/internal/group/directory.go
+++ b/internal/group/directory.go
@@ -38,7 +38,7 @@
 	}
 	spec := object.Group
 	engine := &fleet.EngineModel{
-		Sets: spec.Layers, Experts: spec.Experts, Placements: spec.SlotsPerRank, MaxNewPerPrepare: spec.MaxLoads,
+		Layers: spec.Layers, Experts: spec.Experts, SlotsPerRank: spec.SlotsPerRank, MaxNewPerPrepare: spec.MaxLoads,
 	}
 	if engine.MaxNewPerPrepare == 0 {
 		engine.MaxNewPerPrepare = defaultMaxLoads
--- a/internal/platformdaemon/directory.go
+++ b/internal/platformdaemon/directory.go
@@ -57,7 +57,7 @@
 		return ranks.Parameters{}, false
 	}
 	service := config.Service(server.Service)
-	if service == nil || service.Engine == nil || service.Engine.Sets == 0 {
+	if service == nil || service.Engine == nil || service.Engine.Layers == 0 {
 		return ranks.Parameters{}, false
 	}
 	return ranks.Parameters{Engine: service.Engine, MaxEventGap: config.MaxEventGap(service.Name), Policy: experts.DefaultPolicy}, true
