--- a/standins/faultproxy/faultproxy.go
+++ b/standins/faultproxy/faultproxy.go
@@ -1,6 +1,5 @@
-// Package relay is a loopback proxy between processes. When its process dies,
-// connections are refused; when it's frozen, they hang; and it can delay, reset,
-// silence or cut one way what passes through it.
+// Package faultproxy is a TCP proxy between local processes that injects network faults:
+// delays, resets and stalled connections.
 package faultproxy
 
 import (
@@ -15,52 +14,50 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// Mode is what a relay does to connections.
+// Mode is the fault that a Proxy injects.
 type Mode string
 
-// The modes.
+// Modes of a Proxy.
 const (
-	// Pass forwards everything.
+	// Pass forwards all data.
 	Pass Mode = "pass"
-	// Delay holds each piece back for a while.
+	// Delay delays each chunk of data.
 	Delay Mode = "delay"
-	// Reset ends all connections, present and new ones.
+	// Reset resets all connections, open and new ones.
 	Reset Mode = "reset"
-	// OneWay holds what comes back from the target until the mode ends.
+	// HoldReplies holds the data from the target until the mode changes.
 	HoldReplies Mode = "one-way"
-	// Silent holds both ways until the mode ends.
+	// HoldAll holds the data in both directions until the mode changes.
 	HoldAll Mode = "silent"
-	// Stale silences the present connections for good; new ones pass.
+	// BlackholeExisting discards all further data on open connections. New ones pass.
 	BlackholeExisting Mode = "stale"
 )
 
-// Modes are those that a soak draws. Stale came later and has a scenario of its own:
-// the seeds that ever failed stand for these.
+// SoakModes are the modes that the fault soak selects from. The selection depends on their
+// number and order, so a new mode would change what the recorded seeds test.
 var SoakModes = []Mode{Delay, Reset, HoldReplies, HoldAll}
 
 const (
-	// delayTime is how long Delay holds a piece back.
 	delayTime = 60 * time.Millisecond
-	// holdPoll is how often a held piece looks whether it may go on.
+	// holdPoll is the interval at which a held connection checks the mode.
 	holdPoll   = 5 * time.Millisecond
 	bufferSize = 32 << 10
 )
 
-// Relay forwards connections. Safe for concurrent use.
+// Proxy forwards TCP connections. It is safe for concurrent use.
 type Proxy struct {
-	mu    sync.Mutex
-	mode  Mode
-	conns map[*net.TCPConn]bool
-	// stale are connections that have fallen silent.
+	mu         sync.Mutex
+	mode       Mode
+	conns      map[*net.TCPConn]bool
 	blackholed map[*net.TCPConn]bool
 }
 
-// New returns a relay that passes everything.
+// New returns a Proxy in mode Pass.
 func New() *Proxy {
 	return &Proxy{mode: Pass, conns: map[*net.TCPConn]bool{}, blackholed: map[*net.TCPConn]bool{}}
 }
 
-// SetMode changes what the relay does.
+// SetMode changes the mode.
 func (p *Proxy) SetMode(mode Mode) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -83,11 +80,11 @@
 }
 
 func reset(conn *net.TCPConn) {
-	_ = conn.SetLinger(0) // closed already: nothing to reset
+	_ = conn.SetLinger(0) // fails if the connection is already closed
 	_ = conn.Close()
 }
 
-// Control returns the harness's interface: PUT /mode/MODE.
+// ControlHandler returns the HTTP API for the test harness: PUT /mode/MODE.
 func (p *Proxy) ControlHandler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("PUT /mode/{mode}", func(_ http.ResponseWriter, request *http.Request) {
@@ -96,7 +93,7 @@
 	return mux
 }
 
-// Run forwards each pair, written listen=target, until a listener fails.
+// Run forwards connections for each pair, in the form listen=target, until a listener fails.
 func (p *Proxy) Run(pairs []string) error {
 	var group errgroup.Group
 	for _, pair := range pairs {
@@ -130,7 +127,7 @@
 	}
 	conn, err := net.Dial("tcp", target)
 	if err != nil {
-		reset(downstream) // the target is gone, and so is the link
+		reset(downstream) // the target is down
 		return
 	}
 	upstream := conn.(*net.TCPConn)
@@ -159,19 +156,19 @@
 	for _, conn := range conns {
 		delete(p.conns, conn)
 		delete(p.blackholed, conn)
-		_ = conn.Close() // closed by either side already
+		_ = conn.Close() // usually already closed
 	}
 }
 
-// pipe forwards pieces until either side leaves. A mode of that name holds them,
-// as Silent does.
+// forwardData forwards data until either side closes its connection. It holds the data in
+// modes HoldAll and holdMode.
 func (p *Proxy) forwardData(to, from *net.TCPConn, holdMode Mode) {
 	buffer := make([]byte, bufferSize)
 	for {
 		n, err := from.Read(buffer)
 		p.waitWhileHeld(holdMode)
 		if p.isBlackholed(from) && err == nil {
-			continue // taken, and never passed on
+			continue // discard the data
 		}
 		if n > 0 {
 			if _, writeErr := to.Write(buffer[:n]); writeErr != nil {
@@ -180,7 +177,7 @@
 		}
 		if err != nil {
 			if !errors.Is(err, io.EOF) {
-				_ = to.SetLinger(0) // a reset goes on as one
+				_ = to.SetLinger(0) // forward a reset as a reset
 			}
 			break
 		}
@@ -195,7 +192,7 @@
 	return p.blackholed[conn]
 }
 
-// hold waits as the mode asks.
+// waitWhileHeld applies mode Delay and waits while the mode is HoldAll or holdMode.
 func (p *Proxy) waitWhileHeld(holdMode Mode) {
 	mode := p.currentMode()
 	if mode == Delay {
--- a/standins/loadgen/loadgen.go
+++ b/standins/loadgen/loadgen.go
@@ -1,5 +1,6 @@
-// Package load sends requests of several customers to entries and checks every
-// answer: whole, the caller's own, run at most once, and not run when told so.
+// Package loadgen sends requests of several customers to entries and validates every
+// response: it must be complete and belong to the request, the request must have run at most
+// once, and not at all if the response says so.
 package loadgen
 
 import (
@@ -19,50 +20,52 @@
 	"github.com/pkg/errors"
 )
 
-// Options are what to send.
+// Options configure a run.
 type Options struct {
-	// Entries are the entries' addresses for callers, as IP:port.
+	// Entries are the addresses of the entries, as IP:port.
 	Entries []string
 	// Keys are the customers' API keys.
 	Keys []string
-	// Rate is requests a second; Duration how long.
+	// Rate is the number of requests per second.
 	Rate     int
 	Duration time.Duration
-	// Tokens per completion.
+	// Tokens is the number of tokens per completion.
 	Tokens int
-	// PlainPercent, StreamPercent and UnkeyedPercent shape the mix.
+	// PlainPercent and StreamPercent are the percentages of plain calls and of streams among
+	// all requests; UnkeyedPercent is that of plain calls without an idempotency key.
 	PlainPercent, StreamPercent, UnkeyedPercent int
-	// RunsURL is where executions were counted.
+	// RunsURL is the URL of the execution counts. If empty, executions aren't checked.
 	RunsURL string
 	// DeadlineMs is sent with each request.
 	DeadlineMs int
-	// Asks is how often a keyed request is asked again after "unknown" or "not run".
+	// MaxRetries is how often a request with an idempotency key is retried until it is
+	// answered.
 	MaxRetries int
 }
 
-// Report is what came of it.
+// Report counts the outcomes of a run.
 type Report struct {
 	Sent, Answered, NotRun, Unknown int
-	// Doubled counts operations that may not be repeated but ran more than once.
+	// Duplicated counts non-idempotent operations that ran more than once.
 	Duplicated int
-	// Untrue counts operations told "not run" at the end that did run.
+	// FalseNotRun counts operations that ran although their last outcome was "not-run".
 	FalseNotRun int
-	// Wrong counts answers that were cut, mixed up or of another request.
+	// Invalid counts responses that were truncated, out of order or of another request.
 	Invalid int
-	// Silent counts requests that got no answer at all.
+	// NoResponse counts requests without a response.
 	NoResponse int
-	// Latencies of answered requests.
+	// Latencies are those of answered requests.
 	Latencies []time.Duration
-	// Notes tell the first few faults.
+	// Notes describe the first failures.
 	Notes []string
 }
 
-// OK tells whether every count adds up.
+// OK reports whether no check failed and every request has an outcome.
 func (r *Report) OK() bool {
 	return r.Duplicated == 0 && r.FalseNotRun == 0 && r.Invalid == 0 && r.Sent == r.Answered+r.NotRun+r.Unknown+r.NoResponse
 }
 
-// String prints the counts as one line.
+// String returns the counts as one line.
 func (r *Report) String() string {
 	return fmt.Sprintf("asked=%d answered=%d not-run=%d unknown=%d silent=%d doubled=%d untrue=%d wrong=%d",
 		r.Sent, r.Answered, r.NotRun, r.Unknown, r.NoResponse, r.Duplicated, r.FalseNotRun, r.Invalid)
@@ -92,7 +95,7 @@
 	operations []*operation
 }
 
-// Run sends the load and checks what came of it.
+// Run sends requests at a fixed rate and checks the outcomes.
 func Run(ctx context.Context, options Options) (*Report, error) {
 	r := &runner{options: options, client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 256}}}
 	var group sync.WaitGroup
@@ -177,12 +180,12 @@
 	}
 	response, err := r.client.Do(request)
 	if isDialError(err) {
-		// The platform's balancer takes a dead entry out; so do we.
+		// Like the platform's balancer, use another entry.
 		time.Sleep(dialRetryDelay)
 		return r.send(ctx, op, key)
 	}
 	if err != nil {
-		r.addNote("silent: " + err.Error())
+		r.addNote("no response: " + err.Error())
 		return outcomeNoResponse
 	}
 	defer func() { _ = response.Body.Close() }() // read to its end below
@@ -195,7 +198,7 @@
 		return outcomeNoResponse
 	}
 	if outcome == outcomeAnswered && !strings.Contains(string(body), op.name) {
-		r.recordInvalid(op, fmt.Sprintf("answer of another request: status %d %.200s", response.StatusCode, body))
+		r.recordInvalid(op, fmt.Sprintf("response of another request: status %d %.200s", response.StatusCode, body))
 	}
 	if outcome == "" {
 		r.recordInvalid(op, fmt.Sprintf("no outcome: status %d %.200s", response.StatusCode, body))
@@ -209,7 +212,7 @@
 
 const dialRetryDelay = 20 * time.Millisecond
 
-// refused tells that no connection was made, so nothing was sent.
+// isDialError reports whether no connection was established, so that nothing was sent.
 func isDialError(err error) bool {
 	var opErr *net.OpError
 	return errors.As(err, &opErr) && opErr.Op == "dial"
@@ -229,7 +232,7 @@
 	}
 	request.Header.Set("Authorization", "Bearer "+r.options.Keys[rand.IntN(len(r.options.Keys))])
 	if op.keyed {
-		// A key belongs to its customer, so repeats must come from the same one.
+		// An idempotency key belongs to a customer: retries must use the same one.
 		request.Header.Set("Authorization", "Bearer "+r.options.Keys[0])
 		request.Header.Set("Idempotency-Key", key)
 	}
@@ -238,20 +241,20 @@
 	return request, nil
 }
 
-// checkStream checks that every token came once and in order.
+// checkStream checks that a stream has its end marker and each token once.
 func (r *runner) checkStream(op *operation, body string, err error) string {
 	if err != nil || !strings.HasSuffix(body, "data: [DONE]\n\n") {
 		if err != nil {
 			return outcomeNoResponse
 		}
 		if !strings.Contains(body, "event: error") {
-			r.recordInvalid(op, "stream cut without an error event")
+			r.recordInvalid(op, "stream truncated without an error event")
 		}
 		return outcomeUnknown
 	}
 	for token := 1; token <= r.options.Tokens; token++ {
 		if strings.Count(body, fmt.Sprintf("%s/%d ", op.name, token)) != 1 {
-			r.recordInvalid(op, fmt.Sprintf("token %d lost or doubled", token))
+			r.recordInvalid(op, fmt.Sprintf("token %d lost or duplicated", token))
 			break
 		}
 	}
@@ -264,7 +267,7 @@
 	r.mu.Lock()
 	r.report.Invalid++
 	r.mu.Unlock()
-	r.addNote("wrong: " + op.name + ": " + text)
+	r.addNote("invalid: " + op.name + ": " + text)
 }
 
 func (r *runner) addNote(text string) {
@@ -275,7 +278,7 @@
 	}
 }
 
-// checkRuns compares what callers were told with what the servers ran.
+// checkRuns compares the outcomes with the executions that the servers recorded.
 func (r *runner) checkRuns() error {
 	if r.options.RunsURL == "" {
 		return nil
@@ -293,14 +296,14 @@
 		count := runs[op.name]
 		if !op.idempotent && count > 1 {
 			r.report.Duplicated++
-			r.addNote(fmt.Sprintf("doubled: %s ran %d times (keyed %t)", op.name, count, op.keyed))
+			r.addNote(fmt.Sprintf("duplicated: %s ran %d times (keyed %t)", op.name, count, op.keyed))
 		}
 		if op.outcome == outcomeNotRun && count > 0 {
 			r.report.FalseNotRun++
-			r.addNote(fmt.Sprintf("untrue: %s was called not run, ran %d times", op.name, count))
+			r.addNote(fmt.Sprintf("false not-run: %s ran %d times", op.name, count))
 		}
 		if op.outcome == outcomeAnswered && count == 0 {
-			r.recordInvalid(op, "answered, but no server ran it")
+			r.recordInvalid(op, "answered, but not run by any server")
 		}
 	}
 	return nil
