--- a/standins/soak/faults.go
+++ b/standins/soak/faults.go
@@ -12,17 +12,17 @@
 	"github.com/pkg/errors"
 )
 
-// fault draws one fault: its name, whose last word is what it is about, and what
-// begins and ends it.
+// fault draws one fault. It returns its name, whose last word is the target, and the functions that
+// begin and end it.
 type fault func(r *run) (name string, begin, end func() error)
 
 var faults = []fault{
-	killed, killed, stopped, paused, paused, linkPaused, proxied, proxied, storeFault, storeFault, zoneCut, ordersLate, engineDown,
-	changed, changed,
+	killDaemon, killDaemon, stopDaemon, pauseDaemon, pauseDaemon, pauseLink, changeProxyMode, changeProxyMode, storeFault, storeFault, partitionZone, delayCommands, stopEngine,
+	applyChange, applyChange,
 }
 
-// daemon draws one of our own processes.
-func (r *run) daemon() *harness.Process {
+// randomDaemon draws an entry or an agent.
+func (r *run) randomDaemon() *harness.Process {
 	var names []string
 	for _, e := range r.cluster.Entries {
 		names = append(names, e.Name)
@@ -33,13 +33,13 @@
 	return r.cluster.Processes[names[r.random.IntN(len(names))]]
 }
 
-func killed(r *run) (string, func() error, func() error) {
-	p := r.daemon()
+func killDaemon(r *run) (string, func() error, func() error) {
+	p := r.randomDaemon()
 	return "kill " + p.Name, p.Kill, p.Start
 }
 
-func stopped(r *run) (string, func() error, func() error) {
-	p := r.daemon()
+func stopDaemon(r *run) (string, func() error, func() error) {
+	p := r.randomDaemon()
 	return "stop " + p.Name, func() error { return p.Signal(syscall.SIGTERM) }, func() error {
 		if err := p.AwaitExit(); err != nil {
 			return err
@@ -48,21 +48,21 @@
 	}
 }
 
-func paused(r *run) (string, func() error, func() error) {
-	p := r.daemon()
+func pauseDaemon(r *run) (string, func() error, func() error) {
+	p := r.randomDaemon()
 	return "pause " + p.Name, func() error { return p.Signal(syscall.SIGSTOP) }, func() error { return p.Signal(syscall.SIGCONT) }
 }
 
-func linkPaused(r *run) (string, func() error, func() error) {
+func pauseLink(r *run) (string, func() error, func() error) {
 	zones := r.cluster.Layout.Zones
 	p := r.cluster.Processes["link-"+zones[r.random.IntN(len(zones))]]
 	return "pause " + p.Name, func() error { return p.Signal(syscall.SIGSTOP) }, func() error { return p.Signal(syscall.SIGCONT) }
 }
 
-func proxied(r *run) (string, func() error, func() error) {
+func changeProxyMode(r *run) (string, func() error, func() error) {
 	mode := faultproxy.SoakModes[r.random.IntN(len(faultproxy.SoakModes))]
-	// What was held back is lost, as often as not: the requests have run, and nobody
-	// gets their answers.
+	// In half of the cases the held data is dropped: the requests have run, but their responses
+	// are lost.
 	lost := r.random.IntN(2) == 0
 	return string(mode) + " proxy", func() error { return r.cluster.SetProxyMode(mode) }, func() error {
 		if lost {
@@ -81,28 +81,28 @@
 		func() error { return r.cluster.InjectFault("/fault/log", `{}`) }
 }
 
-func zoneCut(r *run) (string, func() error, func() error) {
+func partitionZone(r *run) (string, func() error, func() error) {
 	zones := r.cluster.Layout.Zones
 	zone := zones[r.random.IntN(len(zones))]
 	return "cut zone-" + zone, func() error { return r.cluster.InjectFault("/fault/cut/"+zone+"/true", "") },
 		func() error { return r.cluster.InjectFault("/fault/cut/"+zone+"/false", "") }
 }
 
-// ordersLate makes the engines carry out each seventh order 800 ms late, after the
-// holder has given up on it.
-func ordersLate(r *run) (string, func() error, func() error) {
+// delayCommands makes the engines execute each seventh command 800 ms late, after the lease holder
+// has given up on it.
+func delayCommands(r *run) (string, func() error, func() error) {
 	return "late orders", func() error { return r.cluster.InjectGroupFault("late/7/800") },
 		func() error { return r.cluster.InjectGroupFault("late/0/0") }
 }
 
-func engineDown(r *run) (string, func() error, func() error) {
+func stopEngine(r *run) (string, func() error, func() error) {
 	rank := r.random.IntN(len(r.cluster.Layout.Zones) * r.cluster.Layout.RanksPerZone)
 	return fmt.Sprintf("down engine-%d", rank), func() error { return r.cluster.InjectGroupFault(fmt.Sprintf("down/%d/true", rank)) },
 		func() error { return r.cluster.InjectGroupFault(fmt.Sprintf("down/%d/false", rank)) }
 }
 
-// changed applies a change and notes it if it's accepted.
-func changed(r *run) (string, func() error, func() error) {
+// applyChange applies a change of a customer and records its weight if it is accepted.
+func applyChange(r *run) (string, func() error, func() error) {
 	customer := fmt.Sprintf("soak-%d", r.random.IntN(3))
 	r.weight++
 	weight := r.weight
@@ -114,11 +114,11 @@
 		}
 		out, err := r.cluster.RunCLI("apply", "-f", path, "--reason", "soak")
 		verdict := strings.TrimSpace(out)
-		r.say("change %d: %.80s", weight, verdict)
+		r.logf("change %d: %.80s", weight, verdict)
 		if err == nil {
-			r.changed[customer] = weight
+			r.acceptedWeights[customer] = weight
 		} else {
-			delete(r.changed, customer) // rejected, or unknown: either weight may be in force
+			delete(r.acceptedWeights, customer) // rejected or unknown: either weight may be in force
 		}
 		return nil
 	}
--- a/standins/soak/resting.go
+++ b/standins/soak/resting.go
@@ -15,57 +15,57 @@
 	"github.com/pkg/errors"
 )
 
-// restEach is the time between calls that make their server rest, or name a limit.
-const restEach = 1500 * time.Millisecond
+// restInterval is the time between calls that make their server ask for rest or announce a limit.
+const restInterval = 1500 * time.Millisecond
 
-// restingCaller makes servers rest or name limits, and finds out which calls came nevertheless.
+// restingCaller makes servers ask for rest or announce limits, and checks that no call violates them.
 type restingCaller struct {
 	cluster *harness.Cluster
 	random  *rand.Rand
 
 	mu sync.Mutex
-	// harmed are the spans in which an agent was killed, stopped or paused: it may have
-	// forgotten the rest, or not have heard of it yet.
-	harmed map[string][]span
+	// disrupted holds the times in which a process was killed, stopped or paused: an agent may have
+	// lost the rest or limit then, or not received it yet.
+	disrupted map[string][]span
 }
 
-// span is a time from a beginning to an end; the end is zero while it lasts.
+// span is a period of time; to is zero until the period ends.
 type span struct{ from, to time.Time }
 
-// newRestingCaller draws from a source of its own, so that the faults of a seed stay what
-// they were.
+// newRestingCaller uses a random source of its own, so that it doesn't change the faults of a seed.
 func newRestingCaller(cluster *harness.Cluster, seed uint64) *restingCaller {
-	return &restingCaller{cluster: cluster, random: rand.New(rand.NewPCG(seed, 3)), harmed: map[string][]span{}}
+	return &restingCaller{cluster: cluster, random: rand.New(rand.NewPCG(seed, 3)), disrupted: map[string][]span{}}
 }
 
-// run asks until the context ends.
+// run sends calls until the context ends.
 func (c *restingCaller) run(ctx context.Context) {
-	words := []string{plainserver.RestMarker, plainserver.LimitMarker}
+	markers := []string{plainserver.RestMarker, plainserver.LimitMarker}
 	for n := 0; ctx.Err() == nil; n++ {
-		askOnce(ctx, c.cluster, c.random, words[n%len(words)])
-		time.Sleep(restEach)
+		callOnce(ctx, c.cluster, c.random, markers[n%len(markers)])
+		time.Sleep(restInterval)
 	}
 }
 
-// begins and ends note a fault by its name, whose last word is what it's about.
-func (c *restingCaller) begins(fault string) {
+// beginFault records the start of a fault.
+func (c *restingCaller) beginFault(fault string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	about := lastWord(fault)
-	c.harmed[about] = append(c.harmed[about], span{from: time.Now()})
+	target := faultTarget(fault)
+	c.disrupted[target] = append(c.disrupted[target], span{from: time.Now()})
 }
 
-func (c *restingCaller) ends(fault string) {
+// endFault records the end of a fault.
+func (c *restingCaller) endFault(fault string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	spans := c.harmed[lastWord(fault)]
+	spans := c.disrupted[faultTarget(fault)]
 	if len(spans) > 0 {
 		spans[len(spans)-1].to = time.Now()
 	}
 }
 
-// check returns an error when calls reached a server against its word, unless its agent was
-// harmed meanwhile. Call it when all faults are over.
+// check returns an error if calls violated a server's rest or limit while its agent was not
+// disrupted. All faults must have ended.
 func (c *restingCaller) check() error {
 	response, err := http.Get(c.cluster.PlatformURL + "/runs")
 	if err != nil {
@@ -77,8 +77,8 @@
 		return errors.Wrap(err, "runs")
 	}
 	for name, count := range runs {
-		rest, against := strings.CutPrefix(name, plainserver.ViolationPrefix+"-")
-		if !against {
+		rest, violation := strings.CutPrefix(name, plainserver.ViolationPrefix+"-")
+		if !violation {
 			continue
 		}
 		at := strings.LastIndex(rest, "-")
@@ -87,18 +87,19 @@
 			return errors.Wrapf(err, "run %s", name)
 		}
 		if server := rest[:at]; !c.excused(server, time.UnixMilli(ms)) {
-			return errors.Errorf("%d calls reached %s while it rested or over its limit", count, server)
+			return errors.Errorf("%d calls reached %s while it rested or beyond its limit", count, server)
 		}
 	}
 	return nil
 }
 
-// excused tells whether a server's agent was harmed while a word held that began at a time.
-func (c *restingCaller) excused(server string, began time.Time) bool {
+// excused reports whether the server's agent was disrupted during a rest or limit that began at the
+// given time.
+func (c *restingCaller) excused(server string, started time.Time) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for _, s := range c.harmed["agent-"+server] {
-		if s.from.Before(began.Add(max(plainserver.RestTime, plainserver.LimitTime))) && (s.to.IsZero() || s.to.After(began)) {
+	for _, s := range c.disrupted["agent-"+server] {
+		if s.from.Before(started.Add(max(plainserver.RestTime, plainserver.LimitTime))) && (s.to.IsZero() || s.to.After(started)) {
 			return true
 		}
 	}
--- a/standins/soak/soak.go
+++ b/standins/soak/soak.go
@@ -1,6 +1,6 @@
-// Package soak runs the real programs as separate processes, injects faults from
-// outside them at random while callers send requests, and checks the promises.
-// The same seed draws the same faults at the same times.
+// Package soak runs the real programs as separate processes, injects random faults into them while
+// callers send requests, and checks the guarantees. The same seed draws the same faults at the same
+// times.
 package soak
 
 import (
@@ -17,52 +17,48 @@
 	"github.com/pkg/errors"
 )
 
-// Options are the settings of one run.
+// Options configure one run.
 type Options struct {
 	Seed uint64
 	// Length is how long faults are injected.
 	Length time.Duration
-	// Bin has the programs, Dir gets their logs.
+	// Bin is the directory of the programs, Dir that of their logs.
 	Bin, Dir string
-	// Out gets a line for each fault.
+	// Out receives a line for each fault.
 	Out io.Writer
 }
 
 const (
-	// faultsAtOnce is how many faults overlap at most.
-	faultsAtOnce = 3
-	// faultGap and faultTime are the most time between two faults, and of one.
-	faultGap  = 700 * time.Millisecond
-	faultTime = 2500 * time.Millisecond
-	// settleTime bounds how long the deployment takes to agree and to go on once all
-	// faults are over.
-	settleTime = 30 * time.Second
-	settlePoll = 100 * time.Millisecond
-	// tail is for how long requests go on after the last fault.
-	tail = 4 * time.Second
-	rate = 40
-	// requestDeadline is of each request; a planned stop's bound must outlast it, or
-	// a request whose answer was lost holds the stop longer than that.
+	// maxFaults is how many faults overlap at most.
+	maxFaults = 3
+	// maxFaultGap bounds the time between two faults, maxFaultTime the duration of a fault.
+	maxFaultGap  = 700 * time.Millisecond
+	maxFaultTime = 2500 * time.Millisecond
+	// settleTimeout bounds the recovery of the deployment after all faults have ended.
+	settleTimeout = 30 * time.Second
+	pollInterval  = 100 * time.Millisecond
+	// tailTime is how long requests are sent after the last fault.
+	tailTime    = 4 * time.Second
+	requestRate = 40
+	// requestDeadline is shorter than drainTimeout: a request whose response was lost may hold a
+	// planned stop until its deadline.
 	requestDeadline = 6 * time.Second
 	drainTimeout    = requestDeadline + 4*time.Second
 )
 
-// run is one run under way.
+// run is the state of one run.
 type run struct {
 	options Options
 	cluster *harness.Cluster
 	random  *rand.Rand
-	began   time.Time
-	// changed are the customers whose change the operators were told is accepted, with
-	// the weight that must be in force.
-	changed map[string]int
-	weight  int
-	// resting makes servers rest.
-	resting *restingCaller
+	started time.Time
+	// acceptedWeights maps customers to the weight of their last change, if it was accepted.
+	acceptedWeights map[string]int
+	weight          int
+	resting         *restingCaller
 }
 
-// Run soaks one seed. An error says which promise was broken, or that the run
-// itself failed.
+// Run runs one seed. Its error names the violated guarantee, or says why the run itself failed.
 func Run(o Options) error {
 	cluster, err := harness.New(harness.Layout{
 		Zones: []string{"a", "b"}, EntriesPerZone: 2, EnginesPerZone: 1, PlainPerZone: 1, RanksPerZone: 2, ZoneLinks: true, Proxy: true,
@@ -79,151 +75,152 @@
 		return err
 	}
 	r := &run{
-		options: o, cluster: cluster, random: rand.New(rand.NewPCG(o.Seed, 1)), began: time.Now(), changed: map[string]int{},
+		options: o, cluster: cluster, random: rand.New(rand.NewPCG(o.Seed, 1)), started: time.Now(), acceptedWeights: map[string]int{},
 	}
-	type loaded struct {
+	type loadResult struct {
 		report *loadgen.Report
 		err    error
 	}
-	done := make(chan loaded, 1)
+	done := make(chan loadResult, 1)
 	go func() {
 		report, err := loadgen.Run(context.Background(), loadgen.Options{
-			Entries: cluster.CallerAddresses(), Keys: cluster.Keys, RunsURL: cluster.PlatformURL, Rate: rate, Duration: o.Length + tail,
+			Entries: cluster.CallerAddresses(), Keys: cluster.Keys, RunsURL: cluster.PlatformURL, Rate: requestRate, Duration: o.Length + tailTime,
 			Tokens: 10, PlainPercent: 50, StreamPercent: 30, UnkeyedPercent: 30, DeadlineMs: int(requestDeadline / time.Millisecond), MaxRetries: 20,
 		})
-		done <- loaded{report, err}
+		done <- loadResult{report, err}
 	}()
-	ending := newEndingCaller(cluster, o.Seed)
+	crashing := newCrashingCaller(cluster, o.Seed)
 	r.resting = newRestingCaller(cluster, o.Seed)
 	ctx, stop := context.WithCancel(context.Background())
-	var others sync.WaitGroup
-	others.Go(func() { ending.run(ctx) })
-	others.Go(func() { r.resting.run(ctx) })
-	returning := newReturningStore(cluster, o.Seed, r.say)
-	others.Go(func() { returning.run(ctx) })
+	var background sync.WaitGroup
+	background.Go(func() { crashing.run(ctx) })
+	background.Go(func() { r.resting.run(ctx) })
+	restorer := newStoreRestorer(cluster, o.Seed, r.logf)
+	background.Go(func() { restorer.run(ctx) })
 	err = r.inject()
 	stop()
-	others.Wait()
+	background.Wait()
 	if err != nil {
 		return err
 	}
-	l := <-done
-	if l.err != nil {
-		return l.err
+	result := <-done
+	if result.err != nil {
+		return result.err
 	}
-	r.say("callers: %s", l.report)
-	for _, note := range l.report.Notes {
-		r.say("  %s", note)
+	r.logf("callers: %s", result.report)
+	for _, note := range result.report.Notes {
+		r.logf("  %s", note)
 	}
-	ended, err := ending.check()
-	r.say("servers that one request ended: %d", ended)
+	crashed, err := crashing.check()
+	r.logf("servers crashed by one request: %d", crashed)
 	if err != nil {
 		return errors.Wrapf(err, "seed %d", o.Seed)
 	}
 	if err := r.resting.check(); err != nil {
 		return errors.Wrapf(err, "seed %d", o.Seed)
 	}
-	if err := returning.check(); err != nil {
+	if err := restorer.check(); err != nil {
 		return errors.Wrapf(err, "seed %d", o.Seed)
 	}
-	if !l.report.OK() || l.report.Answered == 0 {
-		return errors.Errorf("seed %d: the counts don't add up: %s", o.Seed, l.report)
+	if !result.report.OK() || result.report.Answered == 0 {
+		return errors.Errorf("seed %d: the counts don't add up: %s", o.Seed, result.report)
 	}
 	return errors.Wrapf(r.settle(), "seed %d", o.Seed)
 }
 
-func (r *run) say(format string, args ...any) {
-	fmt.Fprintf(r.options.Out, "%7.3f "+format+"\n", append([]any{time.Since(r.began).Seconds()}, args...)...) // nowhere to tell
+func (r *run) logf(format string, args ...any) {
+	fmt.Fprintf(r.options.Out, "%7.3f "+format+"\n", append([]any{time.Since(r.started).Seconds()}, args...)...) // a failed write has no other output
 }
 
-// ending is a fault under way.
-type ending struct {
-	at   time.Duration
-	name string
-	end  func() error
+// activeFault is a fault in progress.
+type activeFault struct {
+	endsAt time.Duration
+	name   string
+	end    func() error
 }
 
-// inject draws faults until the length is over, then ends all.
+// inject starts and ends faults until the length is over, then ends those in progress.
 func (r *run) inject() error {
-	var under []ending
-	next := time.Duration(0)
-	for now := time.Duration(0); now < r.options.Length || len(under) > 0; now = time.Since(r.began) {
-		kept := under[:0]
-		for _, e := range under {
-			if now < e.at && now < r.options.Length {
-				kept = append(kept, e)
+	var active []activeFault
+	nextStart := time.Duration(0)
+	for now := time.Duration(0); now < r.options.Length || len(active) > 0; now = time.Since(r.started) {
+		remaining := active[:0]
+		for _, f := range active {
+			if now < f.endsAt && now < r.options.Length {
+				remaining = append(remaining, f)
 				continue
 			}
-			r.say("end of %s", e.name)
-			if err := e.end(); err != nil {
-				return errors.Wrap(err, e.name)
+			r.logf("end of %s", f.name)
+			if err := f.end(); err != nil {
+				return errors.Wrap(err, f.name)
 			}
-			r.resting.ends(e.name)
+			r.resting.endFault(f.name)
 		}
-		under = kept
-		if now >= next && now < r.options.Length && len(under) < faultsAtOnce {
-			next = now + time.Duration(r.random.Int64N(int64(faultGap)))
-			started, err := r.start(under)
+		active = remaining
+		if now >= nextStart && now < r.options.Length && len(active) < maxFaults {
+			nextStart = now + time.Duration(r.random.Int64N(int64(maxFaultGap)))
+			started, err := r.start(active)
 			if err != nil {
 				return err
 			}
 			if started != nil {
-				started.at = now + time.Duration(r.random.Int64N(int64(faultTime)))
-				under = append(under, *started)
+				started.endsAt = now + time.Duration(r.random.Int64N(int64(maxFaultTime)))
+				active = append(active, *started)
 			}
 		}
-		time.Sleep(settlePoll / 10)
+		time.Sleep(pollInterval / 10)
 	}
 	return nil
 }
 
-// start begins a fault that isn't under way yet.
-func (r *run) start(under []ending) (*ending, error) {
+// start draws and begins a fault. It returns nil if a fault with the same target is in progress.
+func (r *run) start(active []activeFault) (*activeFault, error) {
 	fault := faults[r.random.IntN(len(faults))]
 	name, begin, end := fault(r)
-	for _, e := range under {
-		if sameThing(e.name, name) {
+	for _, f := range active {
+		if sameTarget(f.name, name) {
 			return nil, nil
 		}
 	}
-	r.say("%s", name)
-	r.resting.begins(name)
+	r.logf("%s", name)
+	r.resting.beginFault(name)
 	if err := begin(); err != nil {
 		return nil, errors.Wrap(err, name)
 	}
-	return &ending{name: name, end: end}, nil
+	return &activeFault{name: name, end: end}, nil
 }
 
-// sameThing tells whether two faults are about one process or service, which is
-// the last word of their names.
-func sameThing(a, b string) bool { return lastWord(a) == lastWord(b) }
+// sameTarget reports whether two faults affect the same process or service.
+func sameTarget(a, b string) bool { return faultTarget(a) == faultTarget(b) }
 
-func lastWord(name string) string { return name[strings.LastIndex(name, " ")+1:] }
+// faultTarget returns the last word of a fault's name: the process or service that it affects.
+func faultTarget(name string) string { return name[strings.LastIndex(name, " ")+1:] }
 
-// settle checks what must hold once all faults are over.
+// settle waits until the deployment has recovered after the last fault.
 func (r *run) settle() error {
 	before, err := r.cluster.GroupState()
 	if err != nil {
 		return err
 	}
-	deadline := time.Now().Add(settleTime)
+	deadline := time.Now().Add(settleTimeout)
 	for {
-		problem := r.unsettled(before.Passes)
-		if problem == nil {
-			r.say("settled")
+		err := r.checkSettled(before.Passes)
+		if err == nil {
+			r.logf("settled")
 			return nil
 		}
-		if errors.Is(problem, errMixed) || time.Now().After(deadline) {
-			return problem
+		if errors.Is(err, errMixed) || time.Now().After(deadline) {
+			return err
 		}
-		time.Sleep(settlePoll)
+		time.Sleep(pollInterval)
 	}
 }
 
-var errMixed = errors.New("a pass began with two maps")
+var errMixed = errors.New("a pass used two expert maps")
 
-// unsettled returns what doesn't hold yet.
-func (r *run) unsettled(passes int64) error {
+// checkSettled returns an error that says why the deployment has not recovered yet: the group must
+// make passes, entries must have the same state, and accepted changes must be in force.
+func (r *run) checkSettled(passes int64) error {
 	group, err := r.cluster.GroupState()
 	if err != nil {
 		return err
@@ -231,9 +228,9 @@
 	if group.MixedPasses > 0 {
 		return errMixed
 	}
-	const more = 50
-	if group.Passes < passes+more {
-		return errors.Errorf("the group makes no passes: %d, %d when the faults ended", group.Passes, passes)
+	const minPasses = 50
+	if group.Passes < passes+minPasses {
+		return errors.Errorf("the group makes no progress: %d passes, %d when the faults ended", group.Passes, passes)
 	}
 	hashes := map[string]bool{}
 	for _, e := range r.cluster.Entries {
@@ -247,13 +244,13 @@
 	if len(hashes) != 1 {
 		return errors.Errorf("entries differ: %v", hashes)
 	}
-	for customer, weight := range r.changed {
+	for customer, weight := range r.acceptedWeights {
 		out, err := r.cluster.RunCLI("-o", "json", "get", "Customer", customer)
 		if err != nil {
 			return err
 		}
 		if !strings.Contains(strings.ReplaceAll(out, " ", ""), fmt.Sprintf(`"weight":%d`, weight)) {
-			return errors.Errorf("customer %s: the accepted weight %d isn't in force: %s", customer, weight, out)
+			return errors.Errorf("customer %s: accepted weight %d is not in force: %s", customer, weight, out)
 		}
 	}
 	return nil
--- a/standins/soak/soak_test.go
+++ b/standins/soak/soak_test.go
@@ -7,20 +7,20 @@
 	"time"
 )
 
-// regressions are the seeds that ever failed, each with its cause.
+// regressions are the seeds that failed before, each with its cause.
 var regressions = []struct {
 	seed  uint64
 	cause string
 }{
-	{424, "the port of an entry that was to start again was in use, by whom wasn't seen; another soak and tests shared its range"},
-	{710, "an entry read past the end of a log that had come back shorter than what it knew of the former one"},
-	{10, "a planned stop's bound was shorter than the requests' deadline: four requests whose answers were lost were cut off"},
+	{424, "the port of a restarting entry was in use; the process that used it was not found, but another soak and tests shared the port range"},
+	{710, "an entry read past the end of a log that was restored from a backup shorter than what it had read"},
+	{10, "the drain timeout was shorter than the deadline of requests: four requests whose responses were lost were aborted"},
 }
 
-// soakLength is short: CI runs one seed and the regressions.
+// soakLength is short since CI runs one seed and the regressions.
 const soakLength = 5 * time.Second
 
-// TestSoak runs a fixed seed and those that once failed.
+// TestSoak runs a fixed seed and the regressions.
 func TestSoak(t *testing.T) {
 	bin := t.TempDir()
 	out, err := exec.Command("go", "build", "-o", bin+"/",
