--- a/standins/limitsim/limitsim.go
+++ b/standins/limitsim/limitsim.go
@@ -1,6 +1,6 @@
-// Package limitsim plays daemons that keep servers' limits together, on a clock of its own:
-// the package that they do it with, a network that delays, loses and cuts messages, and servers
-// that name limits. The same seed plays the same.
+// Package limitsim simulates daemons that enforce the rate limits of servers together, in
+// virtual time: the real ratelimit tables, servers that state limits, and a network that
+// delays, loses and partitions messages. A run is determined by its seed.
 package limitsim
 
 import (
@@ -15,37 +15,35 @@
 )
 
 const (
-	// Step is how far the clock goes on at a time.
+	// Step is the increment of the simulated clock.
 	Step = 5 * time.Millisecond
-	// Window is the span over which a server's requests count.
+	// Window is the time over which a server's requests are counted.
 	Window = 4 * time.Second
-	// Settles is how long a server's word takes to hold everywhere.
+	// SettleTime is the time until all daemons enforce a changed limit.
 	SettleTime = 3 * time.Second
-	// tellPace is the least time between a daemon's messages.
+	// sendInterval is the minimum time between a daemon's messages.
 	sendInterval = 10 * time.Millisecond
-	// usualDelay and usualDemand are the longest way of a message, and the requests a second
-	// that a daemon gets, unless they're changed.
+	// Defaults of Sim.MaxDelay and Daemon.RequestRate.
 	defaultMaxDelay    = 4 * time.Millisecond
 	defaultRequestRate = 10
-	// looks is how many servers a request looks at for one that takes it.
+	// maxAttempts is the number of servers that are tried for a request.
 	maxAttempts = 3
 )
 
-// Allowed is what a server with a limit may get in one window: half as much again as it named,
-// and 5 requests that were on their way.
+// MaxRequests returns the number of requests that a server with a limit may receive in one
+// window: 1.5 times its limit, and 5 requests that were in flight.
 func MaxRequests(limit float64) int { return int(1.5*limit*Window.Seconds()) + 5 }
 
-// Daemon is one of a fleet.
+// Daemon is a simulated daemon.
 type Daemon struct {
 	Table *ratelimit.Table
-	// Demand is how many requests a second it gets.
+	// RequestRate is the number of requests per second that callers send to it.
 	RequestRate float64
-	// Side tells which daemons hear each other: those of the same.
+	// Partition is that of the network: only daemons of the same one exchange messages.
 	Partition int
-	// FrozenUntil is when it runs on; what comes before waits.
+	// FrozenUntil is the time at which a suspended daemon resumes. Messages wait until then.
 	FrozenUntil time.Time
-	// Gone is set when it has ended.
-	Stopped bool
+	Stopped     bool
 
 	lastSent time.Time
 	inbox    []message
@@ -57,32 +55,34 @@
 	update    *peerrpc.LimitNews
 }
 
-// Sim is a fleet and its servers.
+// Sim is a simulated fleet of daemons and its servers.
 type Sim struct {
 	Random  *rand.Rand
 	Now     time.Time
 	Daemons []*Daemon
-	// Limit is what all servers name, ChangedAt when they named another last.
+	// Limit is the limit that all servers state; LimitChangedAt is the time of its last change.
 	Limit          ratelimit.Limit
 	LimitChangedAt time.Time
-	// Loss is the part of messages that is lost, Delay the longest that one takes.
+	// Loss is the fraction of messages that is lost; MaxDelay bounds the delay of the others.
 	Loss     float64
 	MaxDelay time.Duration
-	// CutAt is when daemons were cut off from each other.
+	// PartitionedAt contains the start times of network partitions.
 	PartitionedAt []time.Time
-	// Customer draws who a request is of, Got counts what customers got.
+	// DrawCustomer returns the customer of a request; SentByCustomer counts the requests sent
+	// to servers.
 	DrawCustomer   func(*rand.Rand) string
 	SentByCustomer map[string]int
-	// Sent has the times of the requests to each server.
+	// SentByServer contains the times of the requests to each server.
 	SentByServer map[string][]time.Time
-	// Messages and Bytes count what daemons told each other.
+	// Messages and Bytes count the messages between daemons, lost ones included.
 	Messages, Bytes int
 
 	servers []string
 	nextID  uint64
 }
 
-// New returns a fleet of some daemons before some servers.
+// New returns a simulation with a number of daemons and of servers that state a limit in
+// requests per second.
 func New(seed uint64, daemons, servers int, limit float64) *Sim {
 	s := &Sim{
 		Random: rand.New(rand.NewPCG(seed, 7)), Now: time.Unix(9000, 0), MaxDelay: defaultMaxDelay,
@@ -98,8 +98,8 @@
 	return s
 }
 
-// Join adds a daemon, where another one is: one that comes cut off from all others can't know of
-// them, and sends by the whole limit.
+// AddDaemon adds a daemon to the partition of a running one. A daemon that starts without
+// any reachable peer would use the whole limit.
 func (s *Sim) AddDaemon() {
 	s.nextID++
 	d := &Daemon{Table: ratelimit.New(s.nextID, s.Random.Float64), RequestRate: defaultRequestRate}
@@ -111,13 +111,13 @@
 	s.Daemons = append(s.Daemons, d)
 }
 
-// Leave ends a daemon as planned.
+// StopDaemon stops a daemon gracefully.
 func (s *Sim) StopDaemon(d *Daemon) {
 	s.send(slices.Index(s.Daemons, d), []*peerrpc.LimitNews{d.Table.DepartureMessage()})
 	d.Stopped = true
 }
 
-// Alive counts the daemons that run.
+// Running returns the number of running daemons.
 func (s *Sim) Running() (n int) {
 	for _, d := range s.Daemons {
 		if !d.Stopped {
@@ -127,7 +127,7 @@
 	return n
 }
 
-// Run lets a time pass.
+// Run advances the simulation by d.
 func (s *Sim) Run(d time.Duration) {
 	for end := s.Now.Add(d); s.Now.Before(end); s.Now = s.Now.Add(Step) {
 		for i, daemon := range s.Daemons {
@@ -143,7 +143,8 @@
 	}
 }
 
-// step lets one daemon hear, send requests and tell.
+// step delivers the messages that are due to a daemon, sends its requests, and publishes its
+// updates.
 func (s *Sim) step(i int, d *Daemon) {
 	pending := d.inbox[:0]
 	for _, m := range d.inbox {
@@ -170,7 +171,8 @@
 	}
 }
 
-// send delivers messages later, but for those lost or cut off.
+// send schedules the delivery of messages to all other daemons, except those that are lost
+// or cross a partition.
 func (s *Sim) send(from int, messages []*peerrpc.LimitNews) {
 	for _, m := range messages {
 		size := proto.Size(m)
@@ -189,7 +191,8 @@
 	}
 }
 
-// request sends one to a server if one takes it, and hears its word.
+// sendRequest sends one request to a server with a free token, whose response states its
+// limit.
 func (s *Sim) sendRequest(d *Daemon) {
 	request := ratelimit.TokenRequest{Customer: s.DrawCustomer(s.Random)}
 	for range maxAttempts {
@@ -207,8 +210,8 @@
 	d.Table.RecordRefusal([]string{s.servers[s.Random.IntN(len(s.servers))]}, request, s.Now)
 }
 
-// Since counts what was sent to all servers from a time on, and the most to one of them in a
-// window that began then.
+// CountSince returns the number of requests to all servers since a time, and the maximum for
+// one server in a window that starts after it.
 func (s *Sim) CountSince(from time.Time) (count, maxInWindow int) {
 	for _, sent := range s.SentByServer {
 		first, _ := slices.BinarySearchFunc(sent, from, time.Time.Compare)
@@ -225,7 +228,7 @@
 	return count, maxInWindow
 }
 
-// Disturb does something to the fleet at random.
+// InjectFault changes the fleet, the network or the limit at random.
 func (s *Sim) InjectFault() {
 	d := s.Daemons[s.Random.IntN(len(s.Daemons))]
 	switch s.Random.IntN(8) {
@@ -252,7 +255,7 @@
 	}
 }
 
-// cut puts each daemon on one of two sides.
+// partition assigns each daemon to one of two network partitions.
 func (s *Sim) partition() {
 	s.PartitionedAt = append(s.PartitionedAt, s.Now)
 	for _, d := range s.Daemons {
@@ -260,8 +263,8 @@
 	}
 }
 
-// AddedByCuts is what cuts may have added to a window that began after a time, until it was
-// noticed that the others are silent.
+// PartitionExcess returns by how many requests partitions may exceed the limit in a window
+// that starts after a time: daemons detect unreachable peers only after a delay.
 func (s *Sim) PartitionExcess(from time.Time) int {
 	excess := 0.0
 	for _, at := range s.PartitionedAt {
--- a/standins/popularitytrace/popularitytrace.go
+++ b/standins/popularitytrace/popularitytrace.go
@@ -1,6 +1,6 @@
-// Package trace generates expert popularity over a day: a skewed base, slow
-// drift, the day's season, a sharp holiday peak, and noise. The same seed gives
-// the same trace.
+// Package popularitytrace generates the popularity of experts over time: a Zipf
+// distribution with slow drift, a daily season, a holiday peak, and measurement noise. A
+// trace is determined by its seed.
 package popularitytrace
 
 import (
@@ -10,40 +10,40 @@
 	"github.com/crowbridge/crowbridge/internal/rebalance"
 )
 
-// Options shape a trace.
+// Options configure a Trace.
 type Options struct {
 	Shape rebalance.Shape
-	// Intervals is the trace's length; IntervalsPerDay the season's period.
+	// Intervals is the length of the trace; IntervalsPerDay is the period of the season.
 	Intervals, IntervalsPerDay int
-	// Zipf is the exponent of the base popularity.
+	// ZipfExponent is the exponent of the base popularity.
 	ZipfExponent float64
-	// Drift is the random walk's step per interval, in logarithms.
+	// DriftStep is the standard deviation of the random walk per interval, on a log scale.
 	DriftStep float64
-	// Season is the amplitude of the daily wave, in logarithms.
+	// SeasonAmplitude is the amplitude of the daily season, on a log scale.
 	SeasonAmplitude float64
-	// Noise is a measurement's relative error.
+	// Noise is the relative standard deviation of a measurement.
 	Noise float64
-	// PeakAt and PeakLength place the holiday peak; PeakFactor multiplies the
-	// popularity of a few experts.
+	// PeakAt is the first interval of the holiday peak and PeakLength its number of
+	// intervals. PeakFactor multiplies the popularity of a few experts during the peak.
 	PeakAt, PeakLength int
 	PeakFactor         float64
 	Seed               uint64
 }
 
-// peakShare is one expert in this many that the holiday favours.
+// peakExpertEvery is the inverse of the fraction of experts that have a holiday peak.
 const peakExpertEvery = 24
 
-// Trace generates one interval after the other.
+// Trace generates popularity interval by interval.
 type Trace struct {
 	options       Options
 	random        *rand.Rand
-	logPopularity rebalance.Popularity // base and drift
+	logPopularity rebalance.Popularity // base popularity and drift
 	seasonPhase   rebalance.Popularity
 	peakExperts   [][]bool
 	interval      int
 }
 
-// New returns a trace at its first interval.
+// New returns a Trace at its first interval.
 func New(options Options) *Trace {
 	t := &Trace{
 		options:       options,
@@ -63,7 +63,7 @@
 	return t
 }
 
-// Next returns the interval's true popularity and what was measured of it.
+// Next returns the true and the measured popularity of the next interval.
 func (t *Trace) Next() (truth, measured rebalance.Popularity) {
 	o := t.options
 	truth, measured = rebalance.NewPopularity(o.Shape), rebalance.NewPopularity(o.Shape)
