--- a/internal/buildinfo/buildinfo.go
+++ b/internal/buildinfo/buildinfo.go
@@ -1,4 +1,4 @@
-// Package buildinfo says which build a binary is.
+// Package buildinfo describes the build of a binary.
 package buildinfo
 
 import (
@@ -6,17 +6,17 @@
 	"strings"
 )
 
-// Version is the release that the sources belong to; see CHANGELOG.md.
+// Version is the release of the sources; see CHANGELOG.md.
 const Version = "0.2.0"
 
 const (
-	// unknownRevision stands for sources that weren't built from a repository.
+	// unknownRevision is shown for a build without version control information.
 	unknownRevision = "unknown"
-	// revisionLength is how many digits of a revision are shown.
+	// revisionLength is the number of digits of a revision that are shown.
 	revisionLength = 12
 )
 
-// String returns the version, the revision of the sources and the Go release.
+// String returns the version, the revision of the sources and the Go version.
 func String() string {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
--- a/internal/buildinfo/buildinfo_test.go
+++ b/internal/buildinfo/buildinfo_test.go
@@ -7,7 +7,7 @@
 	. "github.com/onsi/gomega"
 )
 
-func TestDescribe(t *testing.T) {
+func TestDescribeShowsRevisionAndModification(t *testing.T) {
 	g := NewWithT(t)
 	g.Expect(describe(&debug.BuildInfo{GoVersion: "go1.26"})).To(Equal(Version + " unknown go1.26"))
 	settings := []debug.BuildSetting{{Key: "vcs.revision", Value: "0123456789abcdef"}, {Key: "vcs.modified", Value: "true"}}
--- a/internal/failure/failure.go
+++ b/internal/failure/failure.go
@@ -1,6 +1,5 @@
-// Package failure defines the error that crosses process borders: it names the
-// step and the peer at which a request failed, and which of the three outcomes
-// the caller may rely on.
+// Package failure defines the error that a failed request returns across process boundaries: the
+// step and the peer at which it failed, and whether the request may have run.
 package failure
 
 import (
@@ -10,24 +9,23 @@
 	"github.com/pkg/errors"
 )
 
-// Outcome is what a caller may rely on after a request ended.
+// Outcome is what a caller may assume about the execution of a finished request.
 type Outcome string
 
-// The three outcomes. Only OutcomeNotRun permits running the request elsewhere
-// when it is not idempotent.
+// Outcomes of requests. A request that isn't idempotent may be retried only after OutcomeNotRun.
 const (
-	// OutcomeAnswered means the backend server's whole answer was delivered.
+	// OutcomeAnswered means that the backend server's whole response was delivered.
 	OutcomeAnswered Outcome = "answered"
-	// OutcomeNotRun means no backend server has started the request, nor will.
+	// OutcomeNotRun means that no backend server has started the request or will start it.
 	OutcomeNotRun Outcome = "not-run"
-	// OutcomeUnknown means that a start can't be ruled out.
+	// OutcomeUnknown means that a backend server may have started the request.
 	OutcomeUnknown Outcome = "unknown"
 )
 
-// Step names the place in a request's life at which it failed.
+// Step is the processing step at which a request failed.
 type Step string
 
-// Steps of a request's life, in order.
+// Processing steps of a request, in order.
 const (
 	StepParse        Step = "parse"
 	StepAuthenticate Step = "authenticate"
@@ -38,10 +36,10 @@
 	StepRelay        Step = "relay"
 )
 
-// Code is a stable, machine-readable cause.
+// Code is the machine-readable cause of a failure.
 type Code string
 
-// Causes that callers and scripts can match on.
+// Codes of failures. They are stable, so callers may match on them.
 const (
 	CodeInvalid        Code = "invalid-request"
 	CodeUnauthorized   Code = "unauthorized"
@@ -67,19 +65,16 @@
 	CodeSuspect        Code = "suspect-request"
 )
 
-// Error is a failed request's final answer.
+// Error describes a failed request.
 type Error struct {
-	// Step is where in the request's life it failed.
 	Step Step
-	// Peer is the server, daemon or customer at which it arose.
-	Peer string
-	// Code is the machine-readable cause.
-	Code Code
-	// Outcome is what the caller may rely on.
+	// Peer is the server, daemon or customer at which the failure occurred.
+	Peer    string
+	Code    Code
 	Outcome Outcome
-	// RetryAfter tells when coming back makes sense; zero when it doesn't.
+	// RetryAfter is how long the caller should wait before it retries; 0 if no time is known.
 	RetryAfter time.Duration
-	// Detail is for people.
+	// Detail is a human-readable description.
 	Detail string
 }
 
@@ -88,30 +83,30 @@
 	return fmt.Sprintf("%s at %s (%s): %s: %s", e.Step, e.Peer, e.Outcome, e.Code, e.Detail)
 }
 
-// As returns the Error in err's chain, if any.
+// As returns the first Error in err's chain.
 func As(err error) (*Error, bool) {
 	var target *Error
 	ok := errors.As(err, &target)
 	return target, ok
 }
 
-// NotRun builds an Error for a request that provably did not start.
+// NotRun returns an Error for a request that no backend server has started or will start.
 func NotRun(step Step, peer string, code Code, detail string) *Error {
 	return &Error{Step: step, Peer: peer, Code: code, Outcome: OutcomeNotRun, Detail: detail}
 }
 
-// Unknown builds an Error for a request whose start can't be ruled out.
+// Unknown returns an Error for a request that may have started.
 func Unknown(step Step, peer string, code Code, detail string) *Error {
 	return &Error{Step: step, Peer: peer, Code: code, Outcome: OutcomeUnknown, Detail: detail}
 }
 
-// After sets RetryAfter and returns the same Error.
+// WithRetryAfter sets RetryAfter and returns e.
 func (e *Error) WithRetryAfter(d time.Duration) *Error {
 	e.RetryAfter = d
 	return e
 }
 
-// Status returns the HTTP status code that fits the cause.
+// Status returns the HTTP status code for the error's code.
 func (e *Error) Status() int {
 	if status, ok := statusOf[e.Code]; ok {
 		return status
--- a/internal/headers/headers.go
+++ b/internal/headers/headers.go
@@ -1,5 +1,5 @@
-// Package headers defines the headers that requests carry between callers,
-// entries, agents and backend servers.
+// Package headers defines the HTTP headers used between callers, entries, agents and backend
+// servers, and encodes and decodes their values.
 package headers
 
 import (
@@ -45,48 +45,48 @@
 	KeyClosed    = "X-Crowbridge-Key-Closed"
 	WantServer   = "X-Crowbridge-Want-Server"
 	Homes        = "X-Crowbridge-Homes"
-	// HeaderRest is for how many milliseconds the agent starts nothing at its server, by
-	// the server's word.
+	// Rest is how many milliseconds the agent's server keeps resting, as it asked by
+	// Retry-After.
 	Rest = "X-Crowbridge-Rest-Ms"
 )
 
 // Headers between agent and engine.
 const (
-	// HeaderServerLeaving in a server's answer says that it leaves: it gets nothing more
-	// before its next start.
+	// ServerLeaving, in a server's response, marks the server as leaving: it gets no more
+	// requests until it restarts.
 	ServerLeaving = "X-Engine-Leaving"
-	// HeaderServerLimit in a server's answer names how many requests a second it takes, for
-	// as long as its answers name it.
+	// ServerLimit, in a server's response, is its rate limit in requests per second. The limit
+	// applies as long as the server's responses carry it.
 	ServerLimit = "X-Engine-Limit"
-	// HeaderPriority is the engine's scheduling priority; lower runs earlier.
+	// Priority is the engine's scheduling priority; lower runs earlier.
 	Priority = "X-Engine-Priority"
-	// HeaderLastEventID resumes a stream after that token offset; it is the
-	// standard header of server-sent events.
+	// LastEventID resumes a stream after the given token offset. It is the standard header of
+	// server-sent events.
 	LastEventID = "Last-Event-ID"
 )
 
-// Envelope is what an entry tells an agent about a request besides the
-// caller's own headers and body.
+// Envelope holds what an entry sends to an agent about a request besides the caller's own headers
+// and body.
 type Envelope struct {
 	RequestID string
 	Customer  string
 	Weight    int
 	Class     config.Class
-	// Budget is the time left until the deadline when the envelope was sent. A
-	// duration, so that the clocks of two VMs needn't agree.
+	// Budget is the time left until the deadline when the envelope was sent. It is a duration
+	// because the clocks of two VMs may differ.
 	Budget     time.Duration
 	Idempotent bool
 	Key        string
 	// Cost is the estimated cost in tokens.
 	Cost float64
-	// Server is the backend server the entry means to reach.
+	// Server is the backend server that the request is for.
 	Server string
-	// Homes is the offset of the last change of where the service's keys live, as
-	// the entry knows it.
+	// Homes is the offset of the last change known to the entry of the homes of the service's
+	// keys.
 	Homes int64
 }
 
-// Write sets the envelope's headers.
+// Write sets the envelope's headers in h.
 func (e *Envelope) Write(h http.Header) {
 	h.Set(RequestID, e.RequestID)
 	h.Set(Customer, e.Customer)
@@ -102,7 +102,7 @@
 	}
 }
 
-// ReadEnvelope reads what Write set.
+// ReadEnvelope decodes the headers that Envelope.Write sets.
 func ReadEnvelope(h http.Header) (*Envelope, error) {
 	weight, err := strconv.Atoi(h.Get(Weight))
 	if err != nil {
@@ -138,7 +138,7 @@
 	}, nil
 }
 
-// WriteFailure sets the headers that carry a failure from agent to entry.
+// WriteFailure sets the headers that carry a failure from an agent to an entry.
 func WriteFailure(h http.Header, f *failure.Error) {
 	h.Set(Outcome, string(f.Outcome))
 	h.Set(Step, string(f.Step))
@@ -149,7 +149,7 @@
 	}
 }
 
-// ReadFailure reads what WriteFailure set, or returns nil.
+// ReadFailure decodes the headers that WriteFailure sets. It returns nil without them.
 func ReadFailure(h http.Header, peer string) *failure.Error {
 	if h.Get(Code) == "" {
 		return nil
@@ -168,30 +168,32 @@
 	}
 }
 
-// WriteRest sets for how long an agent's server rests still, if it does.
+// WriteRest sets how long the agent's server keeps resting, rounded up to milliseconds. It sets
+// nothing if left isn't positive.
 func WriteRest(h http.Header, left time.Duration) {
 	if left > 0 {
 		h.Set(Rest, strconv.FormatInt(int64(math.Ceil(float64(left)/float64(time.Millisecond))), 10))
 	}
 }
 
-// ReadRest reads what WriteRest set; 0 without it.
+// ReadRest decodes the header that WriteRest sets. It returns 0 if the header is missing or
+// invalid.
 func ReadRest(h http.Header) time.Duration {
 	ms, err := strconv.ParseInt(h.Get(Rest), 10, 64)
 	if err != nil || ms < 0 || ms > math.MaxInt64/int64(time.Millisecond) {
-		return 0 // not set, by an agent that doesn't rest or an earlier release
+		return 0 // agents of earlier releases don't set it
 	}
 	return time.Duration(ms) * time.Millisecond
 }
 
-// Load is an agent's load report, piggybacked on each of its answers.
+// LoadReport is an agent's load report, which it attaches to each of its responses.
 type LoadReport struct {
 	InFlight, Queued, Limit int
 	Leaving                 bool
 	ServiceTime             time.Duration
 }
 
-// String encodes the report for HeaderLoad.
+// String encodes the report for the Load header.
 func (l LoadReport) String() string {
 	leaving := "0"
 	if l.Leaving {
@@ -212,7 +214,7 @@
 
 const loadFields = 5
 
-// ParseLoad decodes what Load.String encoded.
+// ParseLoadReport decodes the value that LoadReport.String returns.
 func ParseLoadReport(s string) (LoadReport, bool) {
 	var fields [loadFields]int64
 	rest := s
--- a/internal/httpapi/events.go
+++ b/internal/httpapi/events.go
@@ -9,18 +9,18 @@
 	"github.com/pkg/errors"
 )
 
-// Event is one server-sent event, with its bytes as they came.
+// Event is one server-sent event.
 type Event struct {
-	// Raw holds the event's lines and the blank line that ends it. It is valid until
+	// Raw holds the event's unmodified lines and the blank line that ends it. It is valid until
 	// the next call of Next.
 	Raw []byte
-	// ID is the event's token offset, or -1 when it has none.
+	// ID is the event's token offset, or -1 if it has none.
 	ID int64
-	// Done tells that this event ends the stream.
+	// Done reports whether this event ends the stream.
 	Done bool
 }
 
-// EventReader splits a stream into whole events.
+// EventReader splits a stream into events.
 type EventReader struct {
 	reader *bufio.Reader
 	raw    []byte
@@ -28,11 +28,11 @@
 
 const (
 	eventBuffer = 32 << 10
-	// maxEventBytes bounds one event, so that a bad server can't fill memory.
+	// maxEventBytes limits the memory that one event can take.
 	maxEventBytes = 1 << 20
 )
 
-// ErrEventTooLong is returned for an event over the limit.
+// ErrEventTooLong is returned for an event that exceeds the size limit.
 var ErrEventTooLong = errors.New("server-sent event over one MiB")
 
 var (
@@ -46,8 +46,8 @@
 	return &EventReader{reader: bufio.NewReaderSize(r, eventBuffer)}
 }
 
-// Next returns the next whole event. A stream that ends inside an event gives
-// io.ErrUnexpectedEOF: half an event is never passed on.
+// Next returns the next event. It returns io.ErrUnexpectedEOF for a stream that ends inside an
+// event, so that partial events are never forwarded.
 func (r *EventReader) Next() (Event, error) {
 	event := Event{ID: -1, Raw: r.raw[:0]}
 	defer func() { r.raw = event.Raw }()
@@ -74,8 +74,7 @@
 	}
 }
 
-// Ready tells whether a whole event has arrived already, so that Next won't
-// block.
+// Ready reports whether a whole event is buffered, so that Next doesn't block.
 func (r *EventReader) Ready() bool {
 	arrived, err := r.reader.Peek(r.reader.Buffered())
 	return err == nil && bytes.Contains(arrived, eventEnd)
--- a/internal/httpapi/httpapi.go
+++ b/internal/httpapi/httpapi.go
@@ -1,5 +1,4 @@
-// Package httpapi reads callers' requests and writes failures as typed JSON.
-// Its parsers do no I/O.
+// Package httpapi parses callers' requests and encodes responses as JSON. Its parsers do no I/O.
 package httpapi
 
 import (
@@ -16,7 +15,7 @@
 	"github.com/pkg/errors"
 )
 
-// Completion is what routing needs of an OpenAI-style request body.
+// Completion holds the fields of an OpenAI-style request body that routing uses.
 type Completion struct {
 	Model     string          `json:"model"`
 	Stream    bool            `json:"stream"`
@@ -26,20 +25,20 @@
 }
 
 const (
-	// bytesPerToken estimates prompt tokens from bytes.
+	// bytesPerToken is the estimated size of a prompt token.
 	bytesPerToken = 4
-	// defaultMaxTokens is assumed for requests that give no max_tokens.
+	// defaultMaxTokens is assumed for requests without max_tokens.
 	defaultMaxTokens = 256
 	maxMaxTokens     = 1 << 20
-	// prefixBytes is how much of a prompt stands for its cached prefix.
+	// prefixBytes is how much of a prompt is hashed to identify its cached prefix.
 	prefixBytes = 512
 )
 
-// ParseCompletion reads an OpenAI-style body.
+// ParseCompletion parses and validates an OpenAI-style request body.
 func ParseCompletion(body []byte) (*Completion, error) {
 	var c Completion
 	if err := json.Unmarshal(body, &c); err != nil {
-		return nil, errors.Wrap(err, "body: not the JSON object of a completion request")
+		return nil, errors.Wrap(err, "body: invalid completion request")
 	}
 	if c.Model == "" {
 		return nil, errors.New("model: empty: name one of /v1/models")
@@ -53,7 +52,7 @@
 	return &c, nil
 }
 
-// Cost estimates the tokens that the request will use.
+// Cost returns the estimated number of tokens that the request uses.
 func (c *Completion) Cost() float64 {
 	output := c.MaxTokens
 	if output == 0 {
@@ -71,7 +70,7 @@
 	return xxhash.Sum64(prompt[:min(len(prompt), prefixBytes)])
 }
 
-// Intent is what a caller's headers ask for, on top of the route's defaults.
+// Intent holds the options of a request that its headers may set.
 type Intent struct {
 	Class      config.Class
 	Deadline   time.Duration
@@ -80,20 +79,20 @@
 	Key        string
 }
 
-// HeaderReader returns a request header's value, or "".
+// HeaderGetter returns the value of a request header, or "" if it is missing.
 type HeaderGetter func(name string) string
 
 const (
-	// DefaultDeadline is used when neither request, route nor service gives one.
+	// DefaultDeadline applies when neither request, route nor service sets a deadline.
 	DefaultDeadline = 30 * time.Second
 	maxDeadline     = time.Hour
 	maxKeyLength    = 255
-	// mayWaitFactor stretches the deadline of a request that may wait.
+	// mayWaitFactor multiplies the default deadline for a request that may wait.
 	mayWaitFactor = 4
 )
 
-// ParseIntent reads a request's headers. now is the entry's wall clock and skew
-// how far the caller's may be ahead of it.
+// ParseIntent applies a request's headers to the defaults. now is the entry's wall clock time; skew
+// is how far the caller's clock may be ahead of it.
 func ParseIntent(header HeaderGetter, defaults Intent, now time.Time, skew time.Duration) (Intent, error) {
 	intent := defaults
 	if value := header(headers.Class); value != "" {
@@ -152,7 +151,7 @@
 	}
 	at, timed := outcome.KeyTime(i.Key)
 	if timed && at.After(now.Add(skew)) {
-		return errors.Errorf("%s: its time is %s ahead of ours: set the caller's clock", headers.IdempotencyKey, at.Sub(now).Round(time.Millisecond))
+		return errors.Errorf("%s: timestamp is %s ahead of the entry's clock: check the caller's clock", headers.IdempotencyKey, at.Sub(now).Round(time.Millisecond))
 	}
 	return nil
 }
@@ -162,7 +161,7 @@
 	Error FailureDetail `json:"error"`
 }
 
-// FailureDetail is what callers can match on.
+// FailureDetail describes a failure. Callers may match on its code, step and outcome.
 type FailureDetail struct {
 	Code      string `json:"code"`
 	Message   string `json:"message"`
@@ -170,7 +169,7 @@
 	Peer      string `json:"peer,omitempty"`
 	Outcome   string `json:"outcome"`
 	RequestID string `json:"requestId"`
-	// RetryAfterMs tells when coming back makes sense; absent when it doesn't.
+	// RetryAfterMs is how long the caller should wait before it retries.
 	RetryAfterMs int64 `json:"retryAfterMs,omitempty"`
 }
 
@@ -181,12 +180,12 @@
 		Outcome: string(f.Outcome), RequestID: requestID, RetryAfterMs: f.RetryAfter.Milliseconds(),
 	}})
 	if err != nil {
-		return []byte(`{"error":{"code":"internal"}}`) // unreachable: the fields are plain
+		return []byte(`{"error":{"code":"internal"}}`) // unreachable: all fields are strings and numbers
 	}
 	return body
 }
 
-// RetryAfterSeconds returns the value of a Retry-After header, rounded up.
+// RetryAfterSeconds returns the value of a Retry-After header, in whole seconds, rounded up.
 func RetryAfterSeconds(d time.Duration) string {
 	return strconv.Itoa(int(math.Ceil(d.Seconds())))
 }
--- a/internal/httpapi/httpapi_test.go
+++ b/internal/httpapi/httpapi_test.go
@@ -15,8 +15,8 @@
 	RunSpecs(t, "httpapi")
 }
 
-var _ = Describe("the event reader", func() {
-	It("gives whole events with their token offset", func() {
+var _ = Describe("EventReader", func() {
+	It("returns events with their token offsets", func() {
 		r := NewEventReader(strings.NewReader("id: 7\ndata: a\n\ndata: b\r\n\r\ndata: [DONE]\n\n"))
 		first, err := r.Next()
 		Expect(err).NotTo(HaveOccurred())
@@ -32,13 +32,13 @@
 		Expect(err).To(MatchError(io.EOF))
 	})
 
-	It("never gives half an event", func() {
+	It("returns an error for a partial event", func() {
 		r := NewEventReader(strings.NewReader("id: 1\ndata: a"))
 		_, err := r.Next()
 		Expect(err).To(MatchError(io.ErrUnexpectedEOF))
 	})
 
-	It("bounds an event's length", func() {
+	It("limits the size of an event", func() {
 		r := NewEventReader(strings.NewReader(strings.Repeat("x", maxEventBytes+2*eventBuffer)))
 		_, err := r.Next()
 		Expect(err).To(MatchError(ErrEventTooLong))
@@ -59,7 +59,7 @@
 			all = append(all, event.Raw...)
 		}
 		if !bytes.HasPrefix(data, all) {
-			t.Fatal("events aren't what was sent")
+			t.Fatal("the events differ from the input")
 		}
 	})
 }
--- a/internal/httpapi/responseheaders.go
+++ b/internal/httpapi/responseheaders.go
@@ -10,52 +10,52 @@
 	"github.com/pkg/errors"
 )
 
-// ReadRest returns for how long a server that turned a request away wants no more: what the
-// Retry-After of a 503 or 429 says, in seconds, with a fraction too, or as a date (RFC 9110,
-// section 10.2.3). A date counts from the answer's own, because the clocks of two VMs needn't
-// agree. The longest of several values counts. odd is a value that can't be read, for the
-// log; it asks for nothing.
-func ParseRetryAfter(status int, h http.Header) (rest time.Duration, odd string) {
+// ParseRetryAfter returns how long a server that refused a request with 503 or 429 wants to get no
+// more requests. Its Retry-After is a number of seconds, also with a fraction, or a date (RFC 9110,
+// section 10.2.3). A date is compared with the response's own Date because the clocks of two VMs may
+// differ. Of several values the longest applies. invalid is a value that can't be parsed; it is
+// ignored.
+func ParseRetryAfter(status int, h http.Header) (rest time.Duration, invalid string) {
 	if status != http.StatusServiceUnavailable && status != http.StatusTooManyRequests {
 		return 0, ""
 	}
 	for _, value := range h.Values("Retry-After") {
 		value = strings.TrimSpace(value)
-		asked, ok := readSeconds(value)
+		requested, ok := parseSeconds(value)
 		if !ok {
-			asked, ok = untilDate(value, h.Get("Date"))
+			requested, ok = parseDate(value, h.Get("Date"))
 		}
 		if !ok {
-			odd = value
+			invalid = value
 			continue
 		}
-		rest = max(rest, asked)
+		rest = max(rest, requested)
 	}
-	return rest, odd
+	return rest, invalid
 }
 
-// ReadLimit returns the limit that a server names in a header: how many requests a second it
-// takes from all VMs together. The lowest of several counts. A number too large for a float64
-// bounds nothing, as the largest does. odd is a value that isn't a decimal number of 0 or more,
-// for the log; named is false when there is no other.
-func ParseLimit(h http.Header, name string) (perSecond float64, named bool, odd string) {
+// ParseLimit returns the rate limit in the named header of a server's response, in requests per
+// second of all VMs together. Of several values the lowest applies. A number beyond the range of
+// float64 becomes the largest float64. present reports whether there is a valid value; invalid is a
+// value that isn't a decimal number of at least 0.
+func ParseLimit(h http.Header, name string) (perSecond float64, present bool, invalid string) {
 	for _, value := range h.Values(name) {
 		value = strings.TrimSpace(value)
-		limit, ok := readDecimal(value)
+		limit, ok := parseDecimal(value)
 		switch {
 		case !ok:
-			odd = value
-		case !named || limit < perSecond:
-			perSecond, named = limit, true
+			invalid = value
+		case !present || limit < perSecond:
+			perSecond, present = limit, true
 		}
 	}
-	return perSecond, named, odd
+	return perSecond, present, invalid
 }
 
-// readDecimal reads a decimal number, 0 or more; math.MaxFloat64 if it's larger.
-func readDecimal(value string) (float64, bool) {
+// parseDecimal parses a decimal number of at least 0. It returns math.MaxFloat64 for a larger one.
+func parseDecimal(value string) (float64, bool) {
 	if value == "" || strings.Trim(value, "+0123456789.eE-") != "" {
-		return 0, false // words, and what else the library takes for numbers
+		return 0, false // excludes hexadecimal numbers, NaN and Inf, which ParseFloat accepts
 	}
 	number, err := strconv.ParseFloat(value, 64)
 	if errors.Is(err, strconv.ErrRange) && number > 0 {
@@ -64,21 +64,21 @@
 	return number, err == nil && number >= 0
 }
 
-// readSeconds reads a number of seconds, 0 or more.
-func readSeconds(value string) (time.Duration, bool) {
+// parseSeconds parses a number of seconds of at least 0.
+func parseSeconds(value string) (time.Duration, bool) {
 	s, err := strconv.ParseFloat(value, 64)
 	if err != nil || math.IsNaN(s) || math.IsInf(s, 0) || s < 0 {
 		return 0, false
 	}
-	const most = float64(math.MaxInt64 / time.Second)
-	if s >= most {
+	const maxSeconds = float64(math.MaxInt64 / time.Second)
+	if s >= maxSeconds {
 		return math.MaxInt64, true
 	}
 	return time.Duration(s * float64(time.Second)), true
 }
 
-// untilDate reads a date as the time from another one until then, 0 if it's over.
-func untilDate(value, from string) (time.Duration, bool) {
+// parseDate returns the duration from one HTTP date to another, or 0 if value is earlier than from.
+func parseDate(value, from string) (time.Duration, bool) {
 	until, err := http.ParseTime(value)
 	if err != nil {
 		return 0, false
@@ -90,8 +90,8 @@
 	return max(until.Sub(now), 0), true
 }
 
-// ReadFlag tells whether a header is set to 1 or true. Without it, or with a value that
-// isn't known, the flag isn't set.
+// ParseFlag reports whether a header has a true boolean value, such as 1 or true. A missing or
+// invalid value counts as false.
 func ParseFlag(h http.Header, name string) bool {
 	set, err := strconv.ParseBool(h.Get(name))
 	return err == nil && set
--- a/internal/rpc/ledger.go
+++ b/internal/rpc/ledger.go
@@ -1,11 +1,10 @@
-// Package rpc holds the control messages between crowbridge's processes. The
-// files control.pb.go and control.twirp.go are generated from control.proto by
-// `make generate`.
+// Package rpc defines the control messages between crowbridge's processes. The files control.pb.go
+// and control.twirp.go are generated from control.proto by `make generate`.
 package rpc
 
 import "github.com/crowbridge/crowbridge/internal/outcome"
 
-// LedgerFrom returns a ledger's counts as they travel.
+// NewLedger returns the message with the outcome counts of the daemon name.
 func NewLedger(name string, counts outcome.Counts) *Ledger {
 	return &Ledger{
 		Name: name, Accepted: counts.Accepted, Answered: counts.Answered,
