--- a/internal/daemon/auth.go
+++ b/internal/daemon/auth.go
@@ -1,6 +1,5 @@
-// Package daemon holds what every crowbridge process needs besides its own
-// role: authentication between daemons and of operators, the control and
-// metrics servers, and log set-up.
+// Package daemon provides what all crowbridge daemons share: authentication of daemons and
+// operators, HTTP servers for control calls and metrics, and logging.
 package daemon
 
 import (
@@ -15,18 +14,18 @@
 	"github.com/pkg/errors"
 )
 
-// Role is what an operator may do.
+// Role defines what an operator may do.
 type Role string
 
-// The operators' roles.
+// Roles of operators.
 const (
-	// RoleRead may look at everything but secrets.
+	// RoleRead may read everything except secrets.
 	RoleRead Role = "read"
 	// RoleChange may also change the configuration.
 	RoleChange Role = "change"
 )
 
-// Operator is somebody who administers the deployment.
+// Operator is a user of the administration API.
 type Operator struct {
 	Name      string
 	Role      Role
@@ -35,7 +34,7 @@
 
 const operatorFields = 3
 
-// ParseOperator reads name:role:sha256-of-token.
+// ParseOperator parses name:role:sha256-of-token.
 func ParseOperator(value string) (Operator, error) {
 	fields := strings.Split(value, ":")
 	if len(fields) != operatorFields {
@@ -51,7 +50,7 @@
 	return operator, nil
 }
 
-// HashSecret returns the SHA-256 of an API key or token in hex.
+// HashSecret returns the SHA-256 of an API key or token in hexadecimal.
 func HashSecret(secret string) string {
 	sum := sha256.Sum256([]byte(secret))
 	return hex.EncodeToString(sum[:])
@@ -59,7 +58,8 @@
 
 const bearer = "Bearer "
 
-// FindOperator returns the operator whose token the request carries.
+// FindOperator returns the operator whose token the request carries. It compares with all operators
+// in constant time.
 func FindOperator(operators []Operator, r *http.Request) (Operator, bool) {
 	hash := HashSecret(strings.TrimPrefix(r.Header.Get("Authorization"), bearer))
 	var found Operator
@@ -72,7 +72,7 @@
 	return found, ok
 }
 
-// RequireKey lets only requests with the daemon key through.
+// RequireKey returns a handler that rejects requests without the daemon key.
 func RequireKey(key string, next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if subtle.ConstantTimeCompare([]byte(r.Header.Get(headers.DaemonKey)), []byte(key)) != 1 {
@@ -83,7 +83,7 @@
 	})
 }
 
-// KeyTransport adds the daemon key to each call.
+// KeyTransport adds the daemon key to each request.
 type KeyTransport struct {
 	Key  string
 	Next http.RoundTripper
@@ -97,16 +97,16 @@
 }
 
 const (
-	controlIdlePerHost = 2
-	controlIdle        = 512
-	controlIdleTime    = 30 * time.Second
+	controlIdleConnsPerHost = 2
+	controlIdleConns        = 512
+	controlIdleTimeout      = 30 * time.Second
 )
 
 // NewControlClient returns a client for calls to other daemons.
 func NewControlClient(key string) *http.Client {
 	return &http.Client{Transport: &KeyTransport{Key: key, Next: &http.Transport{
-		MaxIdleConnsPerHost: controlIdlePerHost,
-		MaxIdleConns:        controlIdle,
-		IdleConnTimeout:     controlIdleTime,
+		MaxIdleConnsPerHost: controlIdleConnsPerHost,
+		MaxIdleConns:        controlIdleConns,
+		IdleConnTimeout:     controlIdleTimeout,
 	}}}
 }
--- a/internal/daemon/auth_test.go
+++ b/internal/daemon/auth_test.go
@@ -16,7 +16,7 @@
 }
 
 var _ = Describe("operators", func() {
-	It("are read from settings and found by token", func() {
+	It("are parsed and found by token", func() {
 		operator, err := ParseOperator("anna:change:" + HashSecret("token"))
 		Expect(err).NotTo(HaveOccurred())
 		request := httptest.NewRequest(http.MethodGet, "/", nil)
@@ -29,20 +29,20 @@
 		Expect(ok).To(BeFalse())
 	})
 
-	DescribeTable("with mistakes are refused without showing the hash",
+	DescribeTable("are rejected if invalid, without the hash in the error",
 		func(value, text string) {
 			_, err := ParseOperator(value)
 			Expect(err).To(MatchError(ContainSubstring(text)))
 			Expect(err.Error()).NotTo(ContainSubstring(strings.Repeat("ab", 32)))
 		},
-		Entry("fields", "anna", "name:role:sha256"),
-		Entry("role", "anna:admin:"+strings.Repeat("ab", 32), "read or change"),
-		Entry("hash", "anna:read:abc", "token hash"),
+		Entry("missing fields", "anna", "name:role:sha256"),
+		Entry("unknown role", "anna:admin:"+strings.Repeat("ab", 32), "read or change"),
+		Entry("short hash", "anna:read:abc", "token hash"),
 	)
 })
 
-var _ = Describe("daemons", func() {
-	It("need the shared key", func() {
+var _ = Describe("RequireKey", func() {
+	It("rejects requests without the daemon key", func() {
 		handler := RequireKey("secret", http.HandlerFunc(func(http.ResponseWriter, *http.Request) {}))
 		server := httptest.NewServer(handler)
 		DeferCleanup(server.Close)
--- a/internal/daemon/servers.go
+++ b/internal/daemon/servers.go
@@ -14,14 +14,14 @@
 
 const headerTimeout = 10 * time.Second
 
-// Listen opens a TCP port and says which setting is wrong when it can't.
+// Listen listens at a TCP address. Its error contains the name of the setting that holds the address.
 func Listen(setting, address string) (net.Listener, error) {
 	listener, err := net.Listen("tcp", address)
 	return listener, errors.Wrapf(err, "setting %s: %q", setting, address)
 }
 
-// ServeHTTP serves handler on the listener until the context ends, then lets
-// the requests in flight finish for at most grace.
+// ServeHTTP serves handler on the listener until the context ends, then waits at most grace for the
+// requests in flight.
 func ServeHTTP(ctx context.Context, listener net.Listener, handler http.Handler, grace time.Duration) error {
 	server := &http.Server{Handler: handler, ReadHeaderTimeout: headerTimeout}
 	failed := make(chan error, 1)
@@ -34,12 +34,12 @@
 	stopCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), grace)
 	defer cancel()
 	if err := server.Shutdown(stopCtx); err != nil {
-		return errors.Wrap(server.Close(), "close after the grace period")
+		return errors.Wrap(server.Close(), "close server after the grace period")
 	}
 	return nil
 }
 
-// MetricsHandler serves metrics, liveness, readiness and the log level.
+// MetricsHandler returns a handler for metrics, liveness, readiness and changes of the log level.
 func MetricsHandler(ready func() bool, logger *logrus.Logger) http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /metrics", func(w http.ResponseWriter, _ *http.Request) {
@@ -64,7 +64,7 @@
 	return mux
 }
 
-// ExportLedger publishes a ledger's counts as gauges.
+// ExportOutcomeCounts exports the counts that read returns as metrics.
 func ExportOutcomeCounts(read func() outcome.Counts) {
 	gauge := func(name string, of func(outcome.Counts) int64) {
 		metrics.GetOrCreateGauge(name, func() float64 { return float64(of(read())) })
@@ -76,7 +76,7 @@
 	gauge(`crowbridge_requests_in_flight`, func(c outcome.Counts) int64 { return c.InFlight })
 }
 
-// NewLogger returns a structured logger.
+// NewLogger returns a logger of the given level that writes JSON.
 func NewLogger(level string) (*logrus.Logger, error) {
 	parsed, err := logrus.ParseLevel(level)
 	if err != nil {
--- a/internal/frontend/frontend.go
+++ b/internal/frontend/frontend.go
@@ -1,5 +1,5 @@
-// Package frontend serves callers over HTTP/1.1: it reads their requests
-// whole, hands them to the dispatch pipeline and writes the answers.
+// Package frontend serves callers over HTTP/1.1: it reads whole requests, passes them to the
+// dispatch pipeline and writes the responses.
 package frontend
 
 import (
@@ -20,19 +20,22 @@
 	"github.com/crowbridge/crowbridge/internal/fleet"
 )
 
-// Dialect names the headers that callers use.
+// Dialect converts between requests and responses and their headers at the callers' side.
 type Dialect interface {
+	// ReadRequest sets the fields of a request that its headers carry.
 	ReadRequest(r *dispatch.Request)
+	// CallerHeader returns the header that a caller gets for a server's response.
 	CallerHeader(server http.Header) http.Header
+	// FailureHeader returns the header of a failure response.
 	FailureHeader(requestID string, retryAfter time.Duration) http.Header
 }
 
-// Pipeline takes requests to their end.
+// Pipeline processes requests.
 type Pipeline interface {
 	Serve(ctx context.Context, r *dispatch.Request, caller dispatch.ResponseWriter) dispatch.Result
 }
 
-// Server serves callers.
+// Server is the HTTP server for callers.
 type Server struct {
 	pipeline Pipeline
 	dialect  Dialect
@@ -41,39 +44,38 @@
 	http     *http.Server
 	conns    *connTimers
 	leaving  atomic.Bool
-	// giveUp ends the contexts of all requests.
-	giveUp context.CancelCauseFunc
-	// bodyTimeout is the constant of that name, or what a spec sets.
+	// cancelRequests cancels the contexts of all requests.
+	cancelRequests context.CancelCauseFunc
+	// bodyTimeout is the constant bodyTimeout except in tests.
 	bodyTimeout time.Duration
 }
 
 const (
-	// defaultMaxBody bounds a body while no configuration is known, in bytes.
+	// defaultMaxBody limits the body size, in bytes, if the configuration doesn't.
 	defaultMaxBody = 4 << 20
-	// headerRoom is how much larger than configured a header may be before the
-	// connection is cut instead of answered, in bytes.
-	headerRoom = 64 << 10
-	// bodyTimeout bounds how long a body may take to come: several times the longest
-	// deadline of the users' requests.
+	// maxHeader is the header size, in bytes, that http.Server accepts. Above the configured limit
+	// and below this one a caller gets a failure response of the frontend.
+	maxHeader = 64 << 10
+	// bodyTimeout limits the time to receive a body.
 	bodyTimeout = 30 * time.Second
-	// lastAnswers bounds the answers to requests that a stop gives up: one way to a
-	// caller, within the entry's margin before it is killed.
-	lastAnswers = 300 * time.Millisecond
+	// cancelGrace is the time for failure responses to requests that Shutdown cancels. It fits
+	// into the time that the entry leaves before it is killed.
+	cancelGrace = 300 * time.Millisecond
 )
 
-// New returns a server. limits returns what is configured at present.
+// New returns a server. limits returns the limits in force.
 func New(pipeline Pipeline, dialect Dialect, limits func() fleet.Limits, now func() time.Time) *Server {
 	s := &Server{pipeline: pipeline, dialect: dialect, limits: limits, now: now, conns: newConnTimers(limits), bodyTimeout: bodyTimeout}
-	base, giveUp := context.WithCancelCause(context.Background())
-	s.giveUp = giveUp
+	base, cancel := context.WithCancelCause(context.Background())
+	s.cancelRequests = cancel
 	s.http = &http.Server{
-		Handler: s, MaxHeaderBytes: headerRoom, ConnState: s.conns.changed, ConnContext: remember,
+		Handler: s, MaxHeaderBytes: maxHeader, ConnState: s.conns.stateChanged, ConnContext: contextWithConn,
 		BaseContext: func(net.Listener) context.Context { return base },
 	}
 	return s
 }
 
-// Serve accepts callers until Shutdown.
+// Serve accepts connections until Shutdown.
 func (s *Server) Serve(listener net.Listener) error {
 	if err := s.http.Serve(listener); !errors.Is(err, http.ErrServerClosed) {
 		return err
@@ -81,18 +83,18 @@
 	return nil
 }
 
-// Leave makes every answer the last one of its connection.
+// Leave closes each connection after its next response.
 func (s *Server) Leave() { s.leaving.Store(true) }
 
-// Shutdown takes no more connections and waits for the requests in flight.
-// When the context ends first, the rest is given up and answered; what then doesn't
-// end within lastAnswers is cut off.
+// Shutdown closes the listener and waits for the requests in flight. When the context ends, it
+// cancels the remaining requests, which get failure responses; after cancelGrace it closes all
+// connections.
 func (s *Server) Shutdown(ctx context.Context) error {
 	bounded, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	defer cancel()
 	defer context.AfterFunc(ctx, func() {
-		s.giveUp(dispatch.ErrLeaving)
-		time.AfterFunc(lastAnswers, cancel)
+		s.cancelRequests(dispatch.ErrLeaving)
+		time.AfterFunc(cancelGrace, cancel)
 	})()
 	if err := s.http.Shutdown(bounded); err != nil {
 		return errors.Join(err, s.http.Close())
@@ -102,7 +104,7 @@
 
 // ServeHTTP implements http.Handler.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	s.conns.reading(r.Context())
+	s.conns.headerRead(r.Context())
 	request := &dispatch.Request{
 		Method: r.Method, Host: r.Host, Path: r.URL.Path, URI: requestURI(r), Header: r.Header,
 	}
@@ -117,17 +119,17 @@
 		return
 	}
 	request.Body, request.ReceivedAt = body, s.now()
-	result := s.pipeline.Serve(r.Context(), request, &caller{w: w, server: s})
+	result := s.pipeline.Serve(r.Context(), request, &responseWriter{w: w, server: s})
 	if result.Failure == nil {
 		return
 	}
 	if result.Started {
-		panic(http.ErrAbortHandler) // breaks the connection, so that the part doesn't look whole
+		panic(http.ErrAbortHandler) // closes the connection, so that the caller sees a truncated response
 	}
 	s.writeFailure(w, request.ID, result.Failure)
 }
 
-// requestURI returns the path and query as the caller wrote them.
+// requestURI returns the path and query as the caller sent them.
 func requestURI(r *http.Request) string {
 	if strings.HasPrefix(r.RequestURI, "/") {
 		return r.RequestURI
@@ -135,13 +137,13 @@
 	return r.URL.RequestURI()
 }
 
-// checkHeader bounds the size of a request's header.
+// checkHeader returns a failure if the request's header exceeds the configured size.
 func (s *Server) checkHeader(r *http.Request) *failure.Error {
 	limit := s.limits().MaxHeaderBytes
 	if limit <= 0 {
 		return nil
 	}
-	const lineOverhead = 4 // ": " and the line's end
+	const lineOverhead = 4 // ": " and "\r\n"
 	size := len(r.Method) + len(r.RequestURI) + len(r.Host)
 	for name, values := range r.Header {
 		for _, value := range values {
@@ -149,7 +151,7 @@
 		}
 	}
 	if size > limit {
-		return failure.NotRun(failure.StepParse, "", failure.CodeHeaderTooLarge, "header over "+strconv.Itoa(limit)+" bytes: send less")
+		return failure.NotRun(failure.StepParse, "", failure.CodeHeaderTooLarge, "header size over "+strconv.Itoa(limit)+" bytes")
 	}
 	return nil
 }
@@ -161,7 +163,7 @@
 	}
 	conn := http.NewResponseController(w)
 	if err := conn.SetReadDeadline(time.Now().Add(s.bodyTimeout)); err != nil {
-		return nil, failure.NotRun(failure.StepParse, "", failure.CodeInvalid, "body not read: "+err.Error())
+		return nil, failure.NotRun(failure.StepParse, "", failure.CodeInvalid, "set the read deadline for the body: "+err.Error())
 	}
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, limit))
 	if err == nil {
@@ -169,36 +171,36 @@
 	}
 	var tooLarge *http.MaxBytesError
 	if errors.As(err, &tooLarge) {
-		return nil, failure.NotRun(failure.StepParse, "", failure.CodeTooLarge, "body over "+strconv.FormatInt(limit, 10)+" bytes: send less")
+		return nil, failure.NotRun(failure.StepParse, "", failure.CodeTooLarge, "body size over "+strconv.FormatInt(limit, 10)+" bytes")
 	}
 	if errors.Is(err, os.ErrDeadlineExceeded) {
-		return nil, failure.NotRun(failure.StepParse, "", failure.CodeSlowBody, "the body took over "+s.bodyTimeout.String()+" to come: send it faster")
+		return nil, failure.NotRun(failure.StepParse, "", failure.CodeSlowBody, "body not received within "+s.bodyTimeout.String())
 	}
 	if err != nil {
-		return nil, failure.NotRun(failure.StepParse, "", failure.CodeInvalid, "body cut off: "+err.Error())
+		return nil, failure.NotRun(failure.StepParse, "", failure.CodeInvalid, "read body: "+err.Error())
 	}
 	return body, nil
 }
 
-// writeFailure writes an answer of our own.
+// writeFailure writes a failure response.
 func (s *Server) writeFailure(w http.ResponseWriter, id string, f *failure.Error) {
 	header := w.Header()
 	for name, values := range s.dialect.FailureHeader(id, f.RetryAfter) {
 		header[name] = values
 	}
 	header.Set("Content-Type", "application/json")
-	s.lastAnswer(header)
+	s.setConnectionClose(header)
 	body, err := json.Marshal(map[string]string{"error": string(f.Code), "detail": f.Detail, "outcome": string(f.Outcome)})
 	if err != nil {
 		body = nil // strings always encode
 	}
 	header.Set("Content-Length", strconv.Itoa(len(body)))
 	w.WriteHeader(status(f))
-	_, _ = w.Write(body) // a caller that left needs no answer
+	_, _ = w.Write(body) // fails only if the caller has disconnected
 }
 
-// status returns the HTTP status of a failure. Callers read some of them as a
-// promise that the request has not run, so these need that outcome.
+// status returns the HTTP status of a failure. Callers take some statuses as a guarantee that the
+// request hasn't run, so these are used only with OutcomeNotRun.
 func status(f *failure.Error) int {
 	if f.Outcome != failure.OutcomeNotRun {
 		if f.Code == failure.CodeDeadline {
@@ -214,42 +216,42 @@
 	}
 }
 
-// lastAnswer tells a caller that its connection ends when the process is leaving.
-func (s *Server) lastAnswer(header http.Header) {
+// setConnectionClose adds "Connection: close" to a response if the process is leaving.
+func (s *Server) setConnectionClose(header http.Header) {
 	if s.leaving.Load() {
 		header.Set("Connection", "close")
 	}
 }
 
-// caller writes a server's answer to a caller.
-type caller struct {
+// responseWriter writes a server's response to a caller.
+type responseWriter struct {
 	w      http.ResponseWriter
 	server *Server
 }
 
 // Start implements dispatch.ResponseWriter.
-func (c *caller) Start(status int, serverHeader http.Header, length int64) {
-	header := c.w.Header()
-	for name, values := range c.server.dialect.CallerHeader(serverHeader) {
+func (rw *responseWriter) Start(status int, serverHeader http.Header, length int64) {
+	header := rw.w.Header()
+	for name, values := range rw.server.dialect.CallerHeader(serverHeader) {
 		header[name] = values
 	}
 	header.Del("Content-Length")
 	if length >= 0 {
 		header.Set("Content-Length", strconv.FormatInt(length, 10))
 	}
-	if _, told := header["Content-Type"]; !told {
-		header["Content-Type"] = nil // keeps the HTTP library from guessing
+	if _, present := header["Content-Type"]; !present {
+		header["Content-Type"] = nil // disables content sniffing by net/http
 	}
-	c.server.lastAnswer(header)
-	c.w.WriteHeader(status)
+	rw.server.setConnectionClose(header)
+	rw.w.WriteHeader(status)
 }
 
 // Write implements dispatch.ResponseWriter.
-func (c *caller) Write(data []byte) error {
+func (rw *responseWriter) Write(data []byte) error {
 	if len(data) > 0 {
-		if _, err := c.w.Write(data); err != nil {
+		if _, err := rw.w.Write(data); err != nil {
 			return err
 		}
 	}
-	return http.NewResponseController(c.w).Flush()
+	return http.NewResponseController(rw.w).Flush()
 }
--- a/internal/frontend/frontend_test.go
+++ b/internal/frontend/frontend_test.go
@@ -40,7 +40,7 @@
 
 var testLimits = fleet.Limits{MaxHeaderBytes: 400, MaxBodyBytes: 10, HeaderTimeout: time.Minute, IdleTimeout: time.Minute}
 
-// serve starts a frontend and returns its address and itself.
+// serve starts a frontend and returns its address and the frontend.
 func serve(pipeline pipelineFunc, limits fleet.Limits) (string, *Server) {
 	s := New(pipeline, plainDialect{}, func() fleet.Limits { return limits }, time.Now)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -50,7 +50,7 @@
 	return listener.Addr().String(), s
 }
 
-// exchange sends raw bytes and reads one answer.
+// exchange sends raw bytes and reads one response.
 func exchange(address, request string) (*http.Response, string, error) {
 	conn, err := net.Dial("tcp", address)
 	Expect(err).NotTo(HaveOccurred())
@@ -65,20 +65,21 @@
 	return response, string(body), err
 }
 
-func failsWith(f *failure.Error, begun bool) pipelineFunc {
+// failsWith returns a pipeline that fails each request, after the start of the response if started.
+func failsWith(f *failure.Error, started bool) pipelineFunc {
 	return func(_ context.Context, _ *dispatch.Request, caller dispatch.ResponseWriter) dispatch.Result {
-		if begun {
+		if started {
 			caller.Start(http.StatusOK, http.Header{}, -1)
 			_ = caller.Write([]byte("id: 1\ndata: x\n\n"))
 		}
-		return dispatch.Result{Failure: f, Started: begun}
+		return dispatch.Result{Failure: f, Started: started}
 	}
 }
 
 const get = "GET /a HTTP/1.1\r\nHost: h\r\nX-Id: 7\r\n\r\n"
 
-var _ = Describe("a caller", func() {
-	DescribeTable("gets a status that is true", func(f *failure.Error, status int) {
+var _ = Describe("Server", func() {
+	DescribeTable("maps the failure's code and outcome to a status", func(f *failure.Error, status int) {
 		address, _ := serve(failsWith(f, false), testLimits)
 		response, body, err := exchange(address, get)
 		Expect(err).NotTo(HaveOccurred())
@@ -96,14 +97,14 @@
 		Entry("no route", failure.NotRun(failure.StepRoute, "", failure.CodeNotFound, ""), 404),
 	)
 
-	It("sees an answer that broke off as broken", func() {
+	It("closes the connection when a started response fails", func() {
 		address, _ := serve(failsWith(failure.Unknown(failure.StepRelay, "", failure.CodeServerLost, ""), true), testLimits)
 		_, body, err := exchange(address, get)
 		Expect(err).To(HaveOccurred())
 		Expect(body).To(ContainSubstring("data: x"))
 	})
 
-	It("gets events as they come", func() {
+	It("forwards events without delay", func() {
 		next := make(chan struct{})
 		address, _ := serve(func(_ context.Context, _ *dispatch.Request, caller dispatch.ResponseWriter) dispatch.Result {
 			caller.Start(http.StatusOK, http.Header{}, -1)
@@ -127,7 +128,7 @@
 		Expect(string(rest)).To(Equal("id: 2\n\n"))
 	})
 
-	It("who leaves ends the request", func() {
+	It("cancels the request when the caller disconnects", func() {
 		ended := make(chan struct{})
 		address, _ := serve(func(ctx context.Context, _ *dispatch.Request, _ dispatch.ResponseWriter) dispatch.Result {
 			<-ctx.Done()
@@ -141,7 +142,7 @@
 		Eventually(ended).Should(BeClosed())
 	})
 
-	DescribeTable("is held to the limits", func(request string, status int) {
+	DescribeTable("enforces the size limits", func(request string, status int) {
 		address, _ := serve(failsWith(failure.NotRun(failure.StepRoute, "", failure.CodeNotFound, ""), false), testLimits)
 		response, _, err := exchange(address, request)
 		Expect(err).NotTo(HaveOccurred())
@@ -150,10 +151,10 @@
 		Entry("header", "GET /a HTTP/1.1\r\nHost: h\r\nX-Long: "+strings.Repeat("x", 500)+"\r\n\r\n", 431),
 		Entry("body with a length", "POST /a HTTP/1.1\r\nHost: h\r\nContent-Length: 11\r\n\r\n01234567890", 413),
 		Entry("body in chunks", "POST /a HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\nb\r\n01234567890\r\n0\r\n\r\n", 413),
-		Entry("within them", "POST /a HTTP/1.1\r\nHost: h\r\nContent-Length: 10\r\n\r\n0123456789", 404),
+		Entry("within the limits", "POST /a HTTP/1.1\r\nHost: h\r\nContent-Length: 10\r\n\r\n0123456789", 404),
 	)
 
-	It("that sends its body too slowly is told so", func() {
+	It("responds with 408 to a body that arrives too slowly", func() {
 		address, s := serve(failsWith(failure.NotRun(failure.StepRoute, "", failure.CodeNotFound, ""), false), testLimits)
 		s.bodyTimeout = time.Millisecond
 		response, _, err := exchange(address, "POST /a HTTP/1.1\r\nHost: h\r\nContent-Length: 9\r\n\r\n01")
@@ -161,7 +162,7 @@
 		Expect(response.StatusCode).To(Equal(http.StatusRequestTimeout))
 	})
 
-	DescribeTable("can't smuggle a request", func(request string) {
+	DescribeTable("rejects ambiguous requests that could smuggle another one", func(request string) {
 		served := 0
 		address, _ := serve(func(context.Context, *dispatch.Request, dispatch.ResponseWriter) dispatch.Result {
 			served++
@@ -178,7 +179,7 @@
 		Entry("a space before the colon", "GET /a HTTP/1.1\r\nHost : h\r\n\r\n"),
 	)
 
-	It("is told that its connection ends when the process leaves", func() {
+	It("closes the connection after the response while the process is leaving", func() {
 		address, s := serve(failsWith(failure.NotRun(failure.StepRoute, "", failure.CodeNotFound, ""), false), testLimits)
 		s.Leave()
 		response, _, err := exchange(address, get)
@@ -186,7 +187,7 @@
 		Expect(response.Close).To(BeTrue())
 	})
 
-	It("is answered when the time for a planned stop runs out", func() {
+	It("sends a failure response to requests in flight when the shutdown times out", func() {
 		started := make(chan struct{})
 		address, s := serve(func(ctx context.Context, _ *dispatch.Request, _ dispatch.ResponseWriter) dispatch.Result {
 			defer GinkgoRecover()
@@ -195,11 +196,11 @@
 			Expect(context.Cause(ctx)).To(MatchError(dispatch.ErrLeaving))
 			return dispatch.Result{Failure: failure.Unknown(failure.StepRun, "", failure.CodeLeaving, "")}
 		}, testLimits)
-		over, cancel := context.WithCancel(context.Background())
+		expired, cancel := context.WithCancel(context.Background())
 		cancel()
 		go func() {
 			<-started
-			_ = s.Shutdown(over)
+			_ = s.Shutdown(expired)
 		}()
 		response, body, err := exchange(address, get)
 		Expect(err).NotTo(HaveOccurred())
@@ -207,7 +208,7 @@
 		Expect(body).To(ContainSubstring(string(failure.CodeLeaving)))
 	})
 
-	DescribeTable("loses a connection that stays idle, or in the middle of a header", func(limits fleet.Limits, request string) {
+	DescribeTable("closes connections that exceed a timeout", func(limits fleet.Limits, request string) {
 		address, _ := serve(failsWith(failure.NotRun(failure.StepRoute, "", failure.CodeNotFound, ""), false), limits)
 		conn, err := net.Dial("tcp", address)
 		Expect(err).NotTo(HaveOccurred())
@@ -215,9 +216,9 @@
 		_, _ = conn.Write([]byte(request))
 		Expect(conn.SetReadDeadline(time.Now().Add(time.Minute))).To(Succeed())
 		_, err = io.ReadAll(conn)
-		Expect(err).NotTo(HaveOccurred(), "the connection ends")
+		Expect(err).NotTo(HaveOccurred(), "the connection wasn't closed")
 	},
 		Entry("idle", fleet.Limits{IdleTimeout: time.Millisecond}, get),
-		Entry("half a header", fleet.Limits{HeaderTimeout: time.Millisecond}, "GET /a HTTP/1.1\r\nHo"),
+		Entry("incomplete header", fleet.Limits{HeaderTimeout: time.Millisecond}, "GET /a HTTP/1.1\r\nHo"),
 	)
 })
--- a/internal/frontend/timers.go
+++ b/internal/frontend/timers.go
@@ -10,30 +10,30 @@
 	"github.com/crowbridge/crowbridge/internal/fleet"
 )
 
-// connTimers closes callers' connections that stay idle, or in the middle of a
-// header, for longer than is configured. The HTTP library's own timeouts can't
-// be changed while it serves. Its lock is a leaf.
+// connTimers closes callers' connections that are idle, or receive a request header, for longer
+// than the configured limits. It replaces the timeouts of http.Server, which can't change while the
+// server runs.
 type connTimers struct {
 	limits func() fleet.Limits
 
-	mu     sync.Mutex
+	mu     sync.Mutex // leaf lock: guards timers
 	timers map[net.Conn]*time.Timer
 }
 
-// connKey finds a request's connection in its context.
+// connKey is the context key of a request's connection.
 type connKey struct{}
 
 func newConnTimers(limits func() fleet.Limits) *connTimers {
 	return &connTimers{limits: limits, timers: map[net.Conn]*time.Timer{}}
 }
 
-// remember puts a connection into the context of its requests.
-func remember(ctx context.Context, conn net.Conn) context.Context {
+// contextWithConn adds a connection to the context of its requests.
+func contextWithConn(ctx context.Context, conn net.Conn) context.Context {
 	return context.WithValue(ctx, connKey{}, conn)
 }
 
-// changed follows a connection's state.
-func (t *connTimers) changed(conn net.Conn, state http.ConnState) {
+// stateChanged is the http.Server's ConnState hook.
+func (t *connTimers) stateChanged(conn net.Conn, state http.ConnState) {
 	limits := t.limits()
 	switch state {
 	case http.StateNew, http.StateActive:
@@ -45,14 +45,14 @@
 	}
 }
 
-// reading stops the timer of a connection whose header has been read.
-func (t *connTimers) reading(ctx context.Context) {
+// headerRead stops the timer of the connection of a request whose header has been read.
+func (t *connTimers) headerRead(ctx context.Context) {
 	if conn, ok := ctx.Value(connKey{}).(net.Conn); ok {
 		t.set(conn, 0)
 	}
 }
 
-// set replaces a connection's timer; 0 means none.
+// set replaces a connection's timer. With 0 the connection has none.
 func (t *connTimers) set(conn net.Conn, after time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -61,6 +61,6 @@
 		delete(t.timers, conn)
 	}
 	if after > 0 {
-		t.timers[conn] = time.AfterFunc(after, func() { _ = conn.Close() }) // closed already: nothing to do
+		t.timers[conn] = time.AfterFunc(after, func() { _ = conn.Close() }) // fails only if already closed
 	}
 }
