--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -1,5 +1,5 @@
-// Package admin serves the operators' API: changes of the configuration, what is
-// in force, the audit trail, and a daemon's view of the fleet.
+// Package admin implements the operators' API: configuration changes, the configuration in force,
+// the audit trail, and the daemon's view of the fleet.
 package admin
 
 import (
@@ -22,16 +22,16 @@
 	"github.com/twitchtv/twirp"
 )
 
-// Host is the daemon that the API speaks for.
+// Host is the daemon that serves the API.
 type Host interface {
 	Name() string
 	Zone() string
-	// OutcomeCounts counts how requests ended.
+	// OutcomeCounts returns the number of requests by outcome.
 	OutcomeCounts() outcome.Counts
-	// Servers are the backend servers as the daemon sees them, in any order.
+	// Servers returns the status of the backend servers as the daemon sees them, in any order.
 	Servers() []*rpc.ServerStatus
-	// Explain tells which route takes a customer's request for a model or a path, and
-	// for each server why it may not go there, "" when it may.
+	// Explain returns the route of a customer's request for a model or a path. For each server,
+	// reasons holds why the request may not go there, or "" if it may.
 	Explain(customer, model, path string) (route string, reasons map[string]string, err error)
 }
 
@@ -44,8 +44,8 @@
 	operators []daemon.Operator
 	logger    *logrus.Entry
 
-	mu    sync.Mutex // leaf: guards peers
-	peers map[string]int64
+	mu    sync.Mutex       // leaf lock: guards peers
+	peers map[string]int64 // configuration offsets by daemon
 }
 
 // New returns the administration API of a daemon.
@@ -55,7 +55,7 @@
 
 type operatorKey struct{}
 
-// Handler authenticates operators before the API.
+// Handler returns the API's handler, which authenticates operators.
 func (a *Admin) Handler() http.Handler {
 	server := rpc.NewOperatorsServer(a)
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -68,15 +68,15 @@
 	})
 }
 
-// PathPrefix is where the API is mounted.
+// PathPrefix returns the path at which to mount Handler.
 func (a *Admin) PathPrefix() string { return rpc.NewOperatorsServer(a).PathPrefix() }
 
-func operatorOf(ctx context.Context) daemon.Operator {
+func operatorFromContext(ctx context.Context) daemon.Operator {
 	operator, _ := ctx.Value(operatorKey{}).(daemon.Operator)
 	return operator
 }
 
-// Seen notes the offset that a daemon has in force.
+// RecordPeerOffset records the offset of the configuration in force at a daemon.
 func (a *Admin) RecordPeerOffset(name string, offset int64) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -87,13 +87,13 @@
 	appendAttempts = 4
 	appendTimeout  = 2 * time.Second
 	appendPause    = 200 * time.Millisecond
-	// resultTimeout bounds the wait for the fold to decide a command.
+	// resultTimeout limits the wait until the replica has applied a command.
 	resultTimeout = 5 * time.Second
 )
 
 // Apply implements rpc.Operators.
 func (a *Admin) Apply(ctx context.Context, request *rpc.ApplyRequest) (*rpc.ApplyReply, error) {
-	operator := operatorOf(ctx)
+	operator := operatorFromContext(ctx)
 	if operator.Role != daemon.RoleChange {
 		return nil, twirp.NewError(twirp.PermissionDenied, "role "+string(operator.Role)+" may not change the configuration")
 	}
@@ -101,8 +101,8 @@
 	if err != nil {
 		return &rpc.ApplyReply{Verdict: rpc.Verdict_VERDICT_REJECTED, CommandId: request.CommandId, Reason: err.Error()}, nil
 	}
-	if known := a.known(bundle.CommandID); known != nil {
-		return known, nil
+	if reply := a.knownResult(bundle.CommandID); reply != nil {
+		return reply, nil
 	}
 	if err := a.replica.Check(bundle); err != nil {
 		return &rpc.ApplyReply{Verdict: rpc.Verdict_VERDICT_REJECTED, CommandId: bundle.CommandID, Reason: err.Error()}, nil
@@ -130,8 +130,8 @@
 	return bundle, nil
 }
 
-// publish appends the command, repeating it while the answer is lost: the
-// command ID keeps it from taking effect twice.
+// publish appends a command to the log and waits for its result. It retries an append that isn't
+// confirmed; the command ID prevents a second effect.
 func (a *Admin) publish(ctx context.Context, bundle *config.Bundle) (*rpc.ApplyReply, error) {
 	record := config.NewChange(bundle)
 	data, err := record.Encode()
@@ -145,12 +145,12 @@
 		if err = a.appendOnce(ctx, data); err == nil {
 			break
 		}
-		a.logger.WithError(err).WithField("command", bundle.CommandID).Warn("append not confirmed")
+		a.logger.WithError(err).WithField("command", bundle.CommandID).Warn("append of a command not confirmed")
 	}
 	if reply := a.awaitResult(ctx, bundle.CommandID); reply != nil {
 		return reply, nil
 	}
-	reason := "not seen on the log yet: ask again with the same command ID"
+	reason := "not applied from the log yet: retry with the same command ID"
 	if err != nil {
 		reason += ": " + err.Error()
 	}
@@ -168,15 +168,16 @@
 	ctx, cancel := context.WithTimeout(ctx, resultTimeout)
 	defer cancel()
 	var reply *rpc.ApplyReply
-	// A timeout leaves the reply nil, which means unknown.
+	// After a timeout the reply is nil: the result is unknown.
 	_ = a.replica.Wait(ctx, func() bool {
-		reply = a.known(commandID)
+		reply = a.knownResult(commandID)
 		return reply != nil
 	})
 	return reply
 }
 
-func (a *Admin) known(commandID string) *rpc.ApplyReply {
+// knownResult returns the result of a command that the replica has applied, or nil.
+func (a *Admin) knownResult(commandID string) *rpc.ApplyReply {
 	result, ok := a.replica.Result(commandID)
 	if !ok {
 		return nil
@@ -236,15 +237,15 @@
 
 // Status implements rpc.Operators.
 func (a *Admin) Status(ctx context.Context, _ *rpc.StatusRequest) (*rpc.StatusReply, error) {
-	at, hash := a.replica.Hash()
+	offset, hash := a.replica.Hash()
 	reply := &rpc.StatusReply{
-		Daemon: a.host.Name(), Zone: a.host.Zone(), Offset: int64(at), StateHash: hash,
+		Daemon: a.host.Name(), Zone: a.host.Zone(), Offset: int64(offset), StateHash: hash,
 		LogAgeMs: a.replica.LogAge().Milliseconds(),
 		Servers:  a.host.Servers(),
 		Ledgers:  []*rpc.Ledger{rpc.NewLedger(a.host.Name(), a.host.OutcomeCounts())},
 	}
 	slices.SortFunc(reply.Servers, func(x, y *rpc.ServerStatus) int { return strings.Compare(x.Name, y.Name) })
-	for _, lease := range a.holders(ctx) {
+	for _, lease := range a.currentLeases(ctx) {
 		reply.Leases = append(reply.Leases, &rpc.LeaseStatus{Group: lease.Group, Holder: lease.Holder, Fence: lease.Fence})
 	}
 	a.mu.Lock()
@@ -256,19 +257,18 @@
 	return reply, nil
 }
 
-// leaseTimeout bounds the look at the leases: the rest of a status is known here.
+// leaseTimeout limits reading the leases, so that an unreachable store delays a status only briefly.
 const leaseTimeout = 300 * time.Millisecond
 
-// holders returns who holds the groups' leases, or nobody while the store can't
-// be read.
-func (a *Admin) holders(ctx context.Context) []experts.LeaseState {
+// currentLeases returns the groups' leases, or none if the store can't be read.
+func (a *Admin) currentLeases(ctx context.Context) []experts.LeaseState {
 	ctx, cancel := context.WithTimeout(ctx, leaseTimeout)
 	defer cancel()
-	held, err := experts.CurrentLeases(ctx, a.leases)
+	leases, err := experts.CurrentLeases(ctx, a.leases)
 	if err != nil {
-		a.logger.WithError(err).Info("leases not read: the status goes without them")
+		a.logger.WithError(err).Info("failed to read leases: status reported without them")
 	}
-	return held
+	return leases
 }
 
 // Explain implements rpc.Operators.
