--- a/standins/plainserver/plainserver.go
+++ b/standins/plainserver/plainserver.go
@@ -1,5 +1,5 @@
-// Package plain is a small stand-in for a plain service whose calls must not be
-// repeated, such as slot confirmations or register entries.
+// Package plainserver is a test double of a backend server of protocol "plain", whose calls
+// must not be repeated. Markers in a call's body make it crash, rest or state a limit.
 package plainserver
 
 import (
@@ -14,20 +14,21 @@
 	"github.com/crowbridge/crowbridge/standins/engine"
 )
 
-// Options are the stand-in's settings.
+// Options configure Handler.
 type Options struct {
-	// Name is told in each answer.
+	// Name is returned in each response.
 	Name string
-	// Work is how long a call takes.
+	// WorkTime is the duration of a call.
 	WorkTime time.Duration
 	// Recorder counts executions.
 	Recorder *engine.Recorder
-	// Exit ends the process when a call's body holds EndsOn; nil where none does.
+	// Exit exits the process after a call with CrashMarker. If nil, the marker has no effect.
 	Exit func()
 }
 
-// EndsOn in a call's body ends the server that runs it, RestsOn makes it refuse that call and
-// want no other for RestTime, LimitsOn makes it name LimitRate calls a second for LimitTime.
+// Markers in a call's body. CrashMarker crashes the server. RestMarker makes it refuse the
+// call and ask for no other for RestTime. LimitMarker makes it state a limit of LimitRate calls
+// per second for LimitTime.
 const (
 	CrashMarker = "ends-its-server"
 	RestMarker  = "makes-its-server-rest"
@@ -37,28 +38,30 @@
 	LimitTime   = 2500 * time.Millisecond
 )
 
-// AgainstWord begins the names of calls that came while their server rested, or over its limit,
-// as Recorder gets them; the server's name and the word's beginning, in milliseconds since 1970,
-// follow.
+// ViolationPrefix starts the names under which Recorder records calls that arrived while the
+// server rested, or above its limit. The server's name and the start of the rest or of the
+// limit, in Unix milliseconds, follow.
 const ViolationPrefix = "against-word"
 
-// onItsWay is for how long calls may come that were sent before a server asked for rest.
+// inFlightGrace is the time for which calls may arrive that were sent before the server
+// asked for a rest or stated a limit.
 const inFlightGrace = 200 * time.Millisecond
 
-// rest is what a server keeps of the rest that it has asked for.
+// restState is the state of a requested rest.
 type restState struct {
 	mu        sync.Mutex
 	startedAt time.Time
 }
 
-// begin starts a rest.
+// start starts a rest.
 func (r *restState) start() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.startedAt = time.Now()
 }
 
-// broken returns when the rest began that a call at this moment breaks; zero when none.
+// violation returns the start of the rest that a call at this moment violates, or the zero
+// time.
 func (r *restState) violation() time.Time {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -68,14 +71,14 @@
 	return r.startedAt
 }
 
-// limit is what a server keeps of a limit that it names.
+// limitState is the state of a stated limit.
 type limitState struct {
 	mu        sync.Mutex
 	startedAt time.Time
 	calls     int
 }
 
-// begin starts a limit, unless one is in force.
+// start starts a limit, unless one is active.
 func (l *limitState) start() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -84,16 +87,17 @@
 	}
 }
 
-// named tells whether a limit is in force.
+// active reports whether a limit is active.
 func (l *limitState) active() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return time.Since(l.startedAt) < LimitTime
 }
 
-// broken counts a call and returns when the limit began that it breaks; zero when none.
+// violation counts a call. It returns the start of the limit that the call violates, or the
+// zero time.
 func (l *limitState) violation() time.Time {
-	const tolerance, burst = 1.5, 5 // half as much again, and what was on its way
+	const tolerance, burst = 1.5, 5 // of the rate, and calls in flight
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	since := time.Since(l.startedAt)
@@ -106,7 +110,7 @@
 	return l.startedAt
 }
 
-// Handler returns the service's API: it echoes what it was asked.
+// Handler returns a handler that echoes each call.
 func Handler(options Options) http.Handler {
 	var resting restState
 	var limited limitState
@@ -138,7 +142,7 @@
 			options.Exit()
 		}
 		options.Recorder.Record(engine.OperationName(body))
-		time.Sleep(options.WorkTime) // goes on although the caller left, as real services do
+		time.Sleep(options.WorkTime) // continues if the caller disconnects, like real services
 		w.Header().Set("Content-Type", "text/plain")
 		w.Header().Set("X-Echo", r.Header.Get("X-Echo"))
 		_, _ = fmt.Fprintf(w, "%s %s %s %s", options.Name, r.Method, r.URL.RequestURI(), body)
--- a/standins/runreport/render.go
+++ b/standins/runreport/render.go
@@ -13,18 +13,19 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// Set is several plays of a day under one name.
+// Series is a named set of runs that differ only in their seeds.
 type Series struct {
 	Name    string
 	Reports []*Report
 }
 
-// shownPrices is how many of the largest prices a row shows.
+// maxPenaltiesShown is the number of penalties in a table row.
 const maxPenaltiesShown = 3
 
-// Table writes a row a set: where its callers lost what they were owed.
+// WriteTable writes a Markdown table with a row per series: the score, the outcomes in
+// percent, and the largest penalties.
 func WriteTable(w io.Writer, series []Series) error {
-	if _, err := fmt.Fprintln(w, "| days | plays | worth | in time, late, refused, failed, % | largest prices |\n| --- | --- | --- | --- | --- |"); err != nil {
+	if _, err := fmt.Fprintln(w, "| series | runs | score | on time, late, refused, failed, % | largest penalties |\n| --- | --- | --- | --- | --- |"); err != nil {
 		return errors.Wrap(err, "table")
 	}
 	for _, s := range series {
@@ -44,16 +45,17 @@
 	return nil
 }
 
-// The size of a plot, in inches.
+// The size of a plot.
 const (
 	plotWidth  = 9 * vg.Inch
 	plotHeight = 3 * vg.Inch
 )
 
-// Plot draws the credit by second of each set into a file, whose ending gives the format.
+// WritePlot plots the score of each series over time into a file, whose extension determines
+// the format.
 func WritePlot(path, title string, series []Series) error {
 	p := plot.New()
-	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = title, "first sent at, s", "credit earned of owed"
+	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = title, "time of first sending, s", "score"
 	p.Y.Min, p.Y.Max = 0, 1
 	p.Legend.Top = false
 	var lines []any
--- a/standins/runreport/runreport.go
+++ b/standins/runreport/runreport.go
@@ -1,5 +1,5 @@
-// Package dayreport reads reports of played load and trouble, and says where callers
-// lost what they were owed: by cause, and by second.
+// Package runreport reads the reports of simulated runs with load and faults, and shows what
+// reduced their scores, by cause and over time.
 package runreport
 
 import (
@@ -10,24 +10,24 @@
 	"github.com/pkg/errors"
 )
 
-// Window is what became of the requests that were first sent in some seconds.
+// Window contains the outcomes of the requests that were first sent in a period.
 type Window struct {
-	// From is the first second.
+	// Start is the start of the period in seconds.
 	Start float64
-	// Owed is how many requests were owed an answer; InTime, Late, Refused and Failed
-	// are how these ended.
+	// Expected is the number of requests that should get a response. OnTime, Late, Refused
+	// and Failed count their outcomes.
 	Expected, OnTime, Late, Refused, Failed float64
-	// Credit is the part earned of what was owed, 0 to 1.
+	// Score is between 0 and 1.
 	Score float64
 }
 
-// Price is what was taken off for one cause, in worth.
+// Penalty is the reduction of the score by one cause.
 type Penalty struct {
 	Cause string
 	Score float64
 }
 
-// Report is one played day.
+// Report is the report of one run.
 type Report struct {
 	Score     float64
 	Total     Window
@@ -35,7 +35,7 @@
 	Penalties []Penalty
 }
 
-// countsRecord is a row of counts in a report.
+// countsRecord is the JSON form of a Window.
 type countsRecord struct {
 	Name    string  `json:"name"`
 	N       float64 `json:"n"`
@@ -60,7 +60,7 @@
 	Prices  [][]json.RawMessage `json:"prices"`
 }
 
-// Read reads a report. An error names the file and the field.
+// ReadFile reads a report from a file.
 func ReadFile(path string) (*Report, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -70,7 +70,7 @@
 	return report, errors.Wrapf(err, "report %s", path)
 }
 
-// Decode reads a report's bytes.
+// Decode decodes a report from JSON.
 func Decode(data []byte) (*Report, error) {
 	var record reportRecord
 	if err := json.Unmarshal(data, &record); err != nil {
@@ -80,7 +80,7 @@
 	for _, w := range record.Windows {
 		from, err := strconv.ParseFloat(w.Name, 64)
 		if err != nil {
-			return nil, errors.Wrap(err, "windows: name: use the first second")
+			return nil, errors.Wrap(err, "windows: name: want the start in seconds")
 		}
 		window := w.toWindow()
 		window.Start = from
@@ -96,12 +96,12 @@
 	return report, nil
 }
 
-// decodePrice reads a row of a cause, its amount, and its price in worth.
+// decodePenalty decodes a row with a cause, its amount and its penalty.
 func decodePenalty(row []json.RawMessage) (Penalty, error) {
 	const columns = 3
 	var penalty Penalty
 	if len(row) != columns {
-		return penalty, errors.Errorf("prices: a row has %d columns, want %d", len(row), columns)
+		return penalty, errors.Errorf("prices: row has %d columns, want %d", len(row), columns)
 	}
 	if err := json.Unmarshal(row[0], &penalty.Cause); err != nil {
 		return penalty, errors.Wrap(err, "prices: cause")
@@ -109,7 +109,7 @@
 	return penalty, errors.Wrap(json.Unmarshal(row[columns-1], &penalty.Score), "prices: worth")
 }
 
-// Mean returns the mean of several plays of a day: the same seconds, other seeds.
+// Mean returns the mean of several reports, whose runs differ only in their seeds.
 func Mean(reports []*Report) *Report {
 	mean := &Report{}
 	if len(reports) == 0 {
--- a/standins/runreport/runreport_test.go
+++ b/standins/runreport/runreport_test.go
@@ -40,7 +40,7 @@
 func TestDecodeErrorNamesField(t *testing.T) {
 	g := NewWithT(t)
 	_, err := Decode([]byte(`{"prices":[["a"]]}`))
-	g.Expect(err).To(MatchError(ContainSubstring("prices: a row has 1 columns")))
+	g.Expect(err).To(MatchError(ContainSubstring("prices: row has 1 columns")))
 	_, err = Decode([]byte(`{"windows":[{"name":"first"}]}`))
 	g.Expect(err).To(MatchError(ContainSubstring("windows: name")))
 }
