--- a/internal/experts/agent.go
+++ b/internal/experts/agent.go
@@ -36,7 +36,7 @@
 	// fencing token prevCountsFence.
 	prevCounts      Counts
 	prevCountsFence int64
-	// openedAt is when the group last became open.
+	// openedAt is when the group was last observed to become open.
 	openedAt time.Time
 	// selfReport holds the pauses that the engine asked for in its responses.
 	selfReport eligibility.Report
@@ -72,7 +72,7 @@
 func (a *Agent) ObserveFence(fence int64) { a.recordFence(fence) }
 
 // MarkHolderGone records that the lease with a fencing token belonged to an earlier
-// process of this daemon, so that the next claim needn't wait for its holder.
+// process of this daemon, so that the next claim doesn't wait for that holder.
 func (a *Agent) MarkHolderGone(fence int64) {
 	a.recordFence(fence)
 	a.mu.Lock()
@@ -112,7 +112,8 @@
 	Experts bool
 }
 
-// Observe returns the state of the rank to the holder with a fencing token.
+// Observe returns the state of the rank to the holder with a fencing token. To a
+// superseded holder it returns only the highest token seen.
 func (a *Agent) Observe(ctx context.Context, fence int64, query Query) (Observation, error) {
 	highest, current := a.recordFence(fence)
 	if !current {
--- a/internal/experts/agent_test.go
+++ b/internal/experts/agent_test.go
@@ -275,7 +275,7 @@
 		Expect(d.Weight()).To(Equal(before))
 	})
 
-	It("weighs all sets equally, whichever reported last", func() {
+	It("weighs all layers equally, whichever reported last", func() {
 		shape := rebalance.Shape{Ranks: 1, Experts: 2, Layers: 2, Slots: 2}
 		d := NewDemand(shape, 100*time.Millisecond)
 		now := time.Unix(1000, 0)
--- a/internal/experts/currentmap.go
+++ b/internal/experts/currentmap.go
@@ -19,28 +19,28 @@
 	h.placement, h.placementEpoch, h.placementVersion = placement, h.state.Epoch(), h.mapInUse()
 }
 
-// expertsBySet returns the reported experts by set and rank, and whether all ranks
-// reported theirs. A rank without report is assigned the experts that no other has.
+// expertsByLayer returns the reported experts by layer and rank, and whether all ranks
+// reported theirs. One rank without report is assigned the experts that no other has.
 func (h *Holder) expertsByLayer() (lists [][][]int, complete bool) {
 	complete = true
 	lists = make([][][]int, h.shape.Layers)
-	for set := range lists {
-		lists[set] = make([][]int, h.shape.Ranks)
+	for layer := range lists {
+		lists[layer] = make([][]int, h.shape.Ranks)
 		held := make([]bool, h.shape.Experts)
 		missing := -1
-		for rank, sets := range h.rankExperts {
-			if len(sets) != h.shape.Layers {
+		for rank, layers := range h.rankExperts {
+			if len(layers) != h.shape.Layers {
 				missing, complete = rank, false
 				continue
 			}
-			lists[set][rank] = sets[set]
-			for _, expert := range sets[set] {
+			lists[layer][rank] = layers[layer]
+			for _, expert := range layers[layer] {
 				held[expert%h.shape.Experts] = true
 			}
 		}
 		for expert, known := range held {
 			if !known && missing >= 0 {
-				lists[set][missing] = append(lists[set][missing], expert)
+				lists[layer][missing] = append(lists[layer][missing], expert)
 			}
 		}
 	}
--- a/internal/experts/demand.go
+++ b/internal/experts/demand.go
@@ -26,8 +26,8 @@
 	freshChoices float64
 	// baseline is the moving average of the distance of samples from the estimate.
 	baseline float64
-	// unsettled is set from a jump until the next sample: the sample that showed the
-	// jump may contain passes from before it.
+	// unsettled is set from a jump until the next sample that is large enough to be
+	// compared: the one that showed the jump may contain passes from before it.
 	unsettled bool
 	jumpedAt  time.Time
 }
@@ -55,7 +55,7 @@
 }
 
 // Add adds selections since the previous sample to the current one. chosen is
-// ordered by set, then by expert, beginning at index offset.
+// ordered by layer, then by expert, beginning at index offset.
 func (d *Demand) Add(offset int, chosen []float64) {
 	if offset < 0 || offset+len(chosen) > d.shape.Layers*d.shape.Experts {
 		return
@@ -69,10 +69,11 @@
 
 // Sample summarizes the selections of all ranks in one observation.
 type Sample struct {
-	// Choices is the number of selections. Without any, Distance and Jumped are not set.
+	// Choices is the number of selections. Distance and Jumped are set only if the
+	// sample was compared with the estimate.
 	Choices float64
-	// Distance of the sample from the estimate, from 0 to 1: the fraction of the
-	// selections that differ. Baseline is the usual distance.
+	// Distance is the distance of the sample from the estimate, from 0 to 1: the
+	// fraction of the selections that differ. Baseline is the usual distance.
 	Distance, Baseline float64
 	// Jumped reports whether the sample replaces the estimate.
 	Jumped bool
@@ -92,7 +93,8 @@
 	return sample
 }
 
-// detectJump compares the sample with the estimate, which it resets after a jump.
+// detectJump compares the sample with the estimate. It resets the estimate at a jump,
+// and again at the next sample.
 func (d *Demand) detectJump(sample *Sample) {
 	if d.unsettled {
 		d.reset()
@@ -110,35 +112,35 @@
 }
 
 // distance returns the total variation distance of the sample from the estimate,
-// averaged over the sets.
+// averaged over the layers.
 func (d *Demand) distance() float64 {
-	total, sets := 0.0, 0
-	for set, fresh := range d.fresh {
-		freshTotal, knownTotal := d.fresh.Total(set), d.smoothed.Total(set)
+	total, layers := 0.0, 0
+	for layer, fresh := range d.fresh {
+		freshTotal, knownTotal := d.fresh.Total(layer), d.smoothed.Total(layer)
 		if freshTotal == 0 || knownTotal == 0 {
 			continue
 		}
-		sets++
+		layers++
 		for expert, n := range fresh {
-			total += math.Abs(n/freshTotal-d.smoothed[set][expert]/knownTotal) / 2
+			total += math.Abs(n/freshTotal-d.smoothed[layer][expert]/knownTotal) / 2
 		}
 	}
-	return total / float64(max(sets, 1))
+	return total / float64(max(layers, 1))
 }
 
 func (d *Demand) reset() {
 	d.weight = 0
-	for _, set := range d.smoothed {
-		clear(set)
+	for _, layer := range d.smoothed {
+		clear(layer)
 	}
 }
 
 func (d *Demand) merge() {
 	d.weight += d.freshChoices
 	d.freshChoices = 0
-	for set, fresh := range d.fresh {
+	for layer, fresh := range d.fresh {
 		for expert, n := range fresh {
-			d.smoothed[set][expert] += n
+			d.smoothed[layer][expert] += n
 		}
 		clear(fresh)
 	}
@@ -156,9 +158,9 @@
 	}
 	keep := math.Exp2(-elapsed.Seconds() / d.halfLife.Seconds())
 	d.weight *= keep
-	for _, set := range d.smoothed {
-		for expert := range set {
-			set[expert] *= keep
+	for _, layer := range d.smoothed {
+		for expert := range layer {
+			layer[expert] *= keep
 		}
 	}
 }
@@ -173,18 +175,18 @@
 // last jump.
 func (d *Demand) Settled() bool { return !d.unsettled }
 
-// Popularity returns the estimate, with the same total for all sets: each token
+// Popularity returns the estimate, with the same total for all layers: each token
 // passes all of them, but their counts are queried at different times.
 func (d *Demand) Popularity() rebalance.Popularity {
 	estimate := rebalance.NewPopularity(d.shape)
-	perSet := d.weight / float64(d.shape.Layers)
-	for set, counts := range d.smoothed {
-		total := d.smoothed.Total(set)
+	perLayer := d.weight / float64(d.shape.Layers)
+	for layer, counts := range d.smoothed {
+		total := d.smoothed.Total(layer)
 		if total == 0 {
 			continue
 		}
 		for expert, n := range counts {
-			estimate[set][expert] = n * perSet / total
+			estimate[layer][expert] = n * perLayer / total
 		}
 	}
 	return estimate
--- a/internal/experts/holder.go
+++ b/internal/experts/holder.go
@@ -15,7 +15,7 @@
 type Observation struct {
 	Report RankReport
 	Counts Counts
-	// Experts are those of the map in use, by set, if the query asks for them.
+	// Experts are those of the map in use, by layer, if the query asks for them.
 	Experts [][]int
 	// Fence is the highest fencing token that the agent has seen.
 	Fence int64
@@ -109,8 +109,8 @@
 	switchStartedAt                  time.Time
 	highestFence                     int64
 	loggedStage                      Stage
-	// passTime is the moving average of the time that a pass takes, updated when
-	// lastPass was seen.
+	// armingStartedAt is when the current arming began. passTime is the moving average
+	// of the time that a pass takes, lastPass the newest pass, first seen at lastPassAt.
 	armingStartedAt time.Time
 	passTime        time.Duration
 	lastPass        int64
@@ -233,8 +233,8 @@
 	all.Wait()
 }
 
-// sendCommands sends pending commands until the protocol waits for reports or
-// returns to an earlier stage, which needs fresh reports first.
+// sendCommands sends pending commands until the switch waits for reports, makes no
+// progress, or returns to an earlier stage, which needs new reports first.
 func (h *Holder) sendCommands(ctx context.Context) {
 	visited := map[Stage]bool{}
 	for ctx.Err() == nil {
--- a/internal/experts/lease.go
+++ b/internal/experts/lease.go
@@ -74,8 +74,8 @@
 	return leases, nil
 }
 
-// newestLease returns the newest lease of a group among records, or one with
-// fence 0 and rank -1.
+// newestLease returns the newest lease of a group among records. Without any, its
+// fence is 0 and its rank -1.
 func newestLease(records []StoredRecord, group string) LeaseState {
 	unreadable := 0
 	newest := LeaseState{LeaseRecord: LeaseRecord{Group: group, Rank: -1}}
@@ -99,7 +99,8 @@
 	Fence int64
 	// Newest is the highest fencing token in the history.
 	Newest int64
-	// FormerRank is the rank of the previous holder, or -1 if unknown.
+	// FormerRank is the rank of the previous holder, or -1 if unknown. It is valid
+	// only if the lease was granted.
 	FormerRank int
 	// Unreadable is the number of records that can't be decoded.
 	Unreadable int
--- a/internal/experts/lease_property_test.go
+++ b/internal/experts/lease_property_test.go
@@ -55,7 +55,7 @@
 			}
 			held := currentLease(t, store, "g")
 			if err != nil {
-				newest = held.Fence // the claim succeeded without anyone knowing
+				newest = held.Fence // the claimer doesn't learn whether it succeeded
 				continue
 			}
 			if claimed.Fence == 0 {
--- a/internal/experts/model_mutants_test.go
+++ b/internal/experts/model_mutants_test.go
@@ -16,7 +16,7 @@
 	result func(command Command, result Result) Result
 	// noEpoch makes engines accept commands of any epoch.
 	noEpoch bool
-	// ignoresFence makes holders and agents ignore fencing tokens.
+	// ignoresFence makes holders, agents and engines ignore fencing tokens.
 	ignoresFence bool
 }
 
@@ -63,12 +63,12 @@
 			s.enter(StageRelease)
 		}
 	}},
-	{name: "arms the own rank with the others, successor undoes", after: func(s *MapSwitch) {
+	{name: "arms the own rank with the others, successor disarms", after: func(s *MapSwitch) {
 		if s.fence == 1 && s.stage == StageArm {
 			s.ownRank = modelRanks
 		}
 	}},
-	{name: "successor undoes without burning the version", after: func(s *MapSwitch) {
+	{name: "successor releases without invalidating delayed Arms", after: func(s *MapSwitch) {
 		if s.stage == StageInvalidate {
 			s.version = s.reports[1].Map
 			s.enter(StageRelease)
--- a/internal/experts/model_test.go
+++ b/internal/experts/model_test.go
@@ -13,9 +13,9 @@
 )
 
 // The model has three ranks with engines and up to two holders of the lease, the
-// second of which may take over at any moment. Commands may get a response, be lost,
-// delayed or repeated; reports may be stale. Everything below the holders is modeled;
-// the holders are real MapSwitches.
+// second of which may take over at any time. Commands may be delayed, repeated or get
+// no response; reports may be stale. The holders are real MapSwitches, the rest is
+// modeled.
 
 const (
 	modelRanks  = 3
@@ -264,7 +264,8 @@
 	t.Logf("%d walks of up to %d steps, %d had a switch", walks, walkLength, switched)
 }
 
-// TestOneMapInEveryPassExhaustive checks the invariant by breadth-first search.
+// TestOneMapInEveryPassBreadthFirst checks the invariant in the states that are
+// reached first, up to maxStates.
 func TestOneMapInEveryPassBreadthFirst(t *testing.T) {
 	const maxStates = 100_000
 	visited := map[string]bool{}
--- a/internal/experts/planning.go
+++ b/internal/experts/planning.go
@@ -19,7 +19,8 @@
 	switchTimeWeight  = 0.3
 )
 
-// plan starts a switch if a better map is worth its cost.
+// plan ends a completed or outdated switch, and starts one if a better map is worth
+// its cost.
 func (h *Holder) plan() {
 	if h.state.Stage() == StagePrepare && h.now().Sub(h.switchStartedAt) > prepareTimeout {
 		h.log.WithField("version", h.state.Version()).Warn("map switch aborted: not prepared in time")
--- a/internal/experts/policy.go
+++ b/internal/experts/policy.go
@@ -20,7 +20,8 @@
 	TargetFraction float64
 	// MinTrigger and MaxTrigger bound the trigger.
 	MinTrigger, MaxTrigger float64
-	// MoveCost is the gain required for loading one expert, in percent of a set's time.
+	// MoveCost is the gain required for loading one expert, in percent of the layer's
+	// time in perfect balance.
 	MoveCost float64
 	// Pinned keeps the map in use regardless of demand.
 	Pinned bool
--- a/internal/experts/stage.go
+++ b/internal/experts/stage.go
@@ -3,7 +3,8 @@
 // Stage is the stage of a map switch.
 type Stage int
 
-// Stages, in order.
+// A switch goes through the stages from StagePrepare to StageSettle. StageDisarm and
+// StageInvalidate undo a switch of a former holder whose rank is unreachable.
 const (
 	// StageIdle means that no switch is in progress.
 	StageIdle Stage = iota
@@ -17,10 +18,11 @@
 	StageRelease
 	// StageSettle waits until every rank reports the new map.
 	StageSettle
-	// StageUndo disarms what the former holder armed, before a release.
+	// StageDisarm disarms what the former holder armed. It is logged as "undo".
 	StageDisarm
-	// StageBurn prepares a version that is never used, so that a delayed Arm of the
-	// former holder fails: its version is no longer the prepared one.
+	// StageInvalidate prepares a version that is never used, so that a delayed Arm
+	// of the former holder fails: its version is no longer the prepared one.
+	// StageRelease follows. It is logged as "burn".
 	StageInvalidate
 )
 
--- a/internal/experts/switch.go
+++ b/internal/experts/switch.go
@@ -3,13 +3,13 @@
 import "time"
 
 const (
-	// passMargin is how many passes ahead of the newest reported one the first hold
-	// is attempted, since reports lag.
+	// passMargin is the minimum number of passes from the newest reported one to the
+	// first one that is held, since reports lag.
 	passMargin = 2
 	// maxExtraPasses bounds the passes added to passMargin after commands timed
 	// out. A held pass delays every stream; a later switch costs less.
 	maxExtraPasses = 4
-	// maxLeadPasses bounds the number of passes planned for arming.
+	// maxLeadPasses bounds MapSwitch.leadPasses.
 	maxLeadPasses = 8
 	// maxHoldAttempts bounds the passes that are attempted before the switch is
 	// aborted. Nothing is armed by then.
@@ -53,9 +53,9 @@
 	pass             int64
 	holdRank         int
 	holdAttemptsLeft int
-	// extraPasses are added to passMargin. timeouts is the number of Arm and Hold
-	// commands of this switch without response. leadPasses is how many passes it
-	// takes to arm all ranks.
+	// extraPasses are added to passMargin: leadPasses, the number of passes that
+	// arming all ranks takes, or more after timeouts, the number of Arm and Hold
+	// commands without response since the last switch started.
 	extraPasses, timeouts, leadPasses int64
 	newMap                            [][][]int
 	// currentMap is the map in use, as far as it is known.
@@ -66,8 +66,8 @@
 	// lastVersion is the highest version seen in this epoch.
 	lastVersion int64
 	releasedAt  time.Time
-	// strayHolds has, by rank, the pass that is held by a delayed command rather than
-	// by this switch, or 0.
+	// strayHolds has, by rank, the pass that is held because of a delayed command
+	// rather than this switch, or 0.
 	strayHolds []int64
 	fenced     bool
 }
@@ -110,7 +110,8 @@
 	s.advance(now)
 }
 
-// MarkUnreachable records that a rank couldn't be reached.
+// MarkUnreachable records that a rank couldn't be reached. It is ignored before
+// trustFrom.
 func (s *MapSwitch) MarkUnreachable(now time.Time, rank int) {
 	s.unreachable[rank] = !now.Before(s.trustFrom)
 	s.advance(now)
@@ -138,8 +139,9 @@
 	return true
 }
 
-// Ready reports whether a switch may start: the group is open, and all ranks
-// use the same map with nothing armed or held.
+// Ready reports whether a switch may start: none is in progress, all ranks have
+// reported since trustFrom, the group is open, and all ranks use the same map with
+// nothing armed or held.
 func (s *MapSwitch) Ready() bool {
 	if s.stage != StageIdle || s.fenced || !s.allReported() {
 		return false
@@ -152,7 +154,7 @@
 	return true
 }
 
-// Start begins the switch to a map, given as experts by set and rank.
+// Start begins the switch to a map, given as experts by layer and rank.
 func (s *MapSwitch) Start(lists [][][]int) {
 	s.newMap = lists
 	s.version = s.lastVersion + 1
@@ -162,7 +164,8 @@
 	s.enter(StagePrepare)
 }
 
-// SetArmingPasses sets how many passes it takes to arm all ranks.
+// SetLeadPasses sets how many passes ahead the next switch is scheduled to leave time
+// for arming all ranks.
 func (s *MapSwitch) SetLeadPasses(passes int64) { s.leadPasses = min(passes, maxLeadPasses) }
 
 func (s *MapSwitch) enter(stage Stage) {
--- a/internal/experts/takeover.go
+++ b/internal/experts/takeover.go
@@ -21,7 +21,7 @@
 	}
 }
 
-// heldRank returns a rank that holds a pass, or -1.
+// heldRank returns a rank that holds a pass that wasn't just released, or -1.
 func (s *MapSwitch) heldRank(now time.Time) int {
 	for rank, r := range s.reports {
 		trusted := !s.reportedAt[rank].IsZero() && !s.reportedAt[rank].Before(s.trustFrom)
@@ -76,7 +76,8 @@
 
 // completeSwitch completes a switch that a former holder began. A hold is placed only
 // after every rank has prepared the map, and any rank may have been sent an Arm since.
-// So all ranks are armed before the release; a delayed Arm could defeat an undo.
+// So all ranks are armed before the release; a delayed Arm could defeat an undo. If
+// the ranks don't all have a newer map prepared, the hold is only released.
 func (s *MapSwitch) completeSwitch() {
 	prepared := s.reports[0].Prepared
 	if prepared > s.reports[0].Map && s.all(func(r RankReport) bool { return r.Prepared == prepared }) {
@@ -97,8 +98,8 @@
 	}
 }
 
-// handleBurnResult records the result of preparing the unused version. A refusal means
-// that a delayed Arm was executed, or that the rank already had the version.
+// handleInvalidateResult records the result of preparing the unused version. A refusal
+// means that a delayed Arm was executed, or that the rank already had the version.
 func (s *MapSwitch) handleInvalidateResult(rank int, result Result) {
 	if result != Accepted {
 		s.enter(StageDisarm)
--- a/internal/experts/timing.go
+++ b/internal/experts/timing.go
@@ -9,7 +9,7 @@
 	// passTimeWeight is the weight of the newest sample in the moving average.
 	passTimeWeight = 0.2
 	// minLeadFraction is the fraction of a pass that arming must take before the
-	// switch is scheduled further ahead. leadMargin is added to the lead.
+	// switch is scheduled further ahead. leadMargin is added to the lead, in passes.
 	minLeadFraction = 0.5
 	leadMargin      = 1
 	// ranksPerLeadPass estimates the lead from the group's size until an arming
@@ -32,8 +32,8 @@
 	}
 }
 
-// updateArmingPasses times the arming of all ranks and sets the lead of the next
-// switch. A lead that is too short holds a pass and delays every stream.
+// updateLeadPasses times the arming of all ranks and sets the lead of the next
+// switch. If the lead is too short, the held pass delays every stream.
 func (h *Holder) updateLeadPasses(before Stage) {
 	now := h.now()
 	switch {
@@ -64,15 +64,15 @@
 	return max(interval, time.Duration(h.shape.Ranks)*pollIntervalPerRank)
 }
 
-// countWindows returns the number of parts that the sets are divided into, so
-// that the counts of one part fit into a datagram.
+// countWindows returns the number of windows that the layers are divided into, so
+// that the counts of one window fit into a datagram.
 func (h *Holder) countWindows() int {
-	setsPerWindow := max(countsPerQuery/h.shape.Experts, 1)
-	return (h.shape.Layers + setsPerWindow - 1) / setsPerWindow
+	layersPerWindow := max(countsPerQuery/h.shape.Experts, 1)
+	return (h.shape.Layers + layersPerWindow - 1) / layersPerWindow
 }
 
 // countWindow returns the range of counts to query from a rank in this round. The
-// ranks report different parts, and each rank the next part in the next round.
+// ranks report different windows, and each rank the next one in the next round.
 func (h *Holder) countWindow(rank int) (from, to int) {
 	windows := h.countWindows()
 	index := (rank + h.countRound) % windows
--- a/internal/experts/types.go
+++ b/internal/experts/types.go
@@ -13,9 +13,9 @@
 	Open bool
 	// Pass is the last pass that began. An idle group runs no passes.
 	Pass int64
-	// Map is the version in use. Prepared is the newest version whose experts are
-	// all copied. Armed is the version that a coming pass switches to, or 0. Held
-	// is the pass that is kept from beginning, or 0.
+	// Map is the version in use, Prepared the newest version whose experts are all
+	// copied, Armed the version that a later pass switches to, or 0. Held is the
+	// pass that is kept from beginning, or 0.
 	Map, Prepared, Armed, Held int64
 	// Queued and Running are numbers of requests.
 	Queued, Running int
@@ -31,7 +31,7 @@
 	Epoch int64
 	// StartID differs between starts of the engine. Each start counts from 0.
 	StartID int64
-	// Chosen is ordered by set, then by expert, beginning at index Offset. Engines
+	// Chosen is ordered by layer, then by expert, beginning at index Offset. Engines
 	// count from their start, agents from the holder's previous query.
 	Chosen []float64
 	Offset int
@@ -67,10 +67,10 @@
 	Version int64
 	// Pass is the pass that Arm, Hold and Release apply to.
 	Pass int64
-	// Map lists the experts by set and rank, for Prepare.
+	// Map lists the experts by layer and rank, for Prepare.
 	Map [][][]int
-	// Fence is the fencing token of the lease. Engines refuse a lower one than the
-	// highest that they have seen.
+	// Fence is the fencing token of the lease. Agents, and engines that check it,
+	// refuse a lower one than the highest that they have seen.
 	Fence int64
 }
 
--- a/internal/fleet/config.go
+++ b/internal/fleet/config.go
@@ -23,7 +23,7 @@
 	KindStreaming
 )
 
-// Target is a service that a route leads to.
+// Target is a service to which a route sends requests.
 type Target struct {
 	Service string
 	// Weight is the target's share of the route's requests relative to the other targets.
@@ -67,10 +67,11 @@
 	Step time.Duration
 	// StepPerRequest is the additional duration per generating request.
 	StepPerRequest time.Duration
-	// Sets, Experts and Placements are the shape of an expert map: the number of sets of layers,
-	// the number of experts per set, and the maximum number of experts of a set on a rank.
+	// Layers, Experts and SlotsPerRank are the shape of an expert map: the number of layers, the
+	// number of experts per layer, and the maximum number of experts of a layer on a rank. Layers
+	// that share their assignment, which the platform calls a set, count as one.
 	Layers, Experts, SlotsPerRank int
-	// MaxNewPerPrepare limits the experts of a set that one prepare command may add to a rank.
+	// MaxNewPerPrepare limits the experts of a layer that one prepare command may add to a rank.
 	MaxNewPerPrepare int
 	// ExpertShare is the fraction of a step's work that experts do.
 	ExpertShare float64
@@ -103,7 +104,7 @@
 	IdleTimeout time.Duration
 }
 
-// Config is a version of the operators' configuration, indexed for lookups.
+// Config is one version of the operators' configuration, indexed for lookups.
 type Config struct {
 	Version  int64
 	Limits   Limits
@@ -171,7 +172,8 @@
 	return max(priority-c.mostUrgent[service], 0)
 }
 
-// Route returns the route with the longest prefix that matches a host and path, or nil.
+// Route returns the route with the longest prefix that matches a host and path, or nil. The host's
+// port and case are ignored.
 func (c *Config) Route(host, path string) *Route {
 	host, _, _ = strings.Cut(host, ":")
 	for _, route := range c.routes[strings.ToLower(host)] {
--- a/internal/fleet/server.go
+++ b/internal/fleet/server.go
@@ -75,7 +75,7 @@
 	return b.Leaving && !a.Leaving
 }
 
-// ByAddress returns the server at an address, or nil.
+// ByAddress returns the newest known server at an address, or nil.
 func (s *Servers) ByAddress(address string) *Server { return s.byAddress[address] }
 
 // ByID returns a server by ID, or nil.
--- a/internal/ranks/client.go
+++ b/internal/ranks/client.go
@@ -29,7 +29,7 @@
 	countsBandwidth float64
 
 	mu sync.Mutex // leaf lock
-	// lastEndpoints keeps the last known endpoints of each rank. Registrations expire
+	// lastEndpoints has the last known endpoints of each rank. Registrations expire
 	// during a partition of a zone and return seconds after the rank is reachable again.
 	lastEndpoints map[int]Endpoints
 	// mapTransfers bounds concurrent map transfers.
@@ -204,8 +204,8 @@
 	for _, n := range reply.GetChosen() {
 		observation.Counts.Chosen = append(observation.Counts.Chosen, float64(n))
 	}
-	for _, set := range reply.GetExperts() {
-		observation.Experts = append(observation.Experts, decodeExperts(set))
+	for _, layer := range reply.GetExperts() {
+		observation.Experts = append(observation.Experts, decodeExperts(layer))
 	}
 	return observation, nil
 }
@@ -239,7 +239,7 @@
 }
 
 // commandAgent sends a command to an agent as a datagram, or over HTTP if the map
-// doesn't fit.
+// doesn't fit or the agent lacks the base of the difference.
 func (c *client) commandAgent(ctx context.Context, rank int, to Endpoints, command experts.Command) (*peerrpc.CommandReply, error) {
 	request := encodeCommand(command)
 	request.Group, request.Rank = c.group, int32(rank)
@@ -264,8 +264,8 @@
 	return c.agentClient(to).Command(ctx, request)
 }
 
-// mapDifference returns the difference of a command's map from the previous map, or from
-// the default map. It is computed once for all ranks.
+// mapDifference returns the difference of a command's map from the previous map of the
+// same holder and epoch, or from the default map. It is computed once for all ranks.
 func (c *client) mapDifference(command experts.Command) *peerrpc.MapDifference {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/ranks/codec.go
+++ b/internal/ranks/codec.go
@@ -46,8 +46,8 @@
 
 func encodeMap(lists [][][]int) *peerrpc.ExpertMap {
 	encoded := &peerrpc.ExpertMap{Sets: int32(len(lists)), Ranks: int32(len(lists[0]))}
-	for _, set := range lists {
-		for _, rank := range set {
+	for _, layer := range lists {
+		for _, rank := range layer {
 			encoded.Sizes = append(encoded.Sizes, int32(len(rank)))
 			for _, expert := range rank {
 				encoded.Experts = append(encoded.Experts, int32(expert))
@@ -64,7 +64,7 @@
 	ranks := int(encoded.GetRanks())
 	var lists [][][]int
 	for range encoded.GetSets() {
-		set := make([][]int, 0, ranks)
+		layer := make([][]int, 0, ranks)
 		for range ranks {
 			if len(sizes) == 0 || sizes[0] < 0 || int(sizes[0]) > len(experts) {
 				return lists
@@ -73,10 +73,10 @@
 			for i := range rank {
 				rank[i] = int(experts[i])
 			}
-			set = append(set, rank)
+			layer = append(layer, rank)
 			experts, sizes = experts[sizes[0]:], sizes[1:]
 		}
-		lists = append(lists, set)
+		lists = append(lists, layer)
 	}
 	return lists
 }
--- a/internal/ranks/difference.go
+++ b/internal/ranks/difference.go
@@ -19,28 +19,28 @@
 }
 
 // defaultMap returns the initial map of an epoch: experts assigned round robin.
-func defaultMap(sets, ranks, experts int) [][][]int {
-	lists := make([][][]int, sets)
-	for set := range lists {
-		lists[set] = make([][]int, ranks)
+func defaultMap(layers, ranks, experts int) [][][]int {
+	lists := make([][][]int, layers)
+	for layer := range lists {
+		lists[layer] = make([][]int, ranks)
 		for expert := range experts {
-			lists[set][expert%ranks] = append(lists[set][expert%ranks], expert)
+			lists[layer][expert%ranks] = append(lists[layer][expert%ranks], expert)
 		}
 	}
 	return lists
 }
 
 // maxMapEntries bounds the lists and the experts of a map that is decoded from a
-// difference: four times those of 256 ranks with 256 experts in 60 sets.
+// difference: four times those of 256 ranks with 256 experts in 60 layers.
 const maxMapEntries = 1 << 16
 
 // validDifference reports whether a difference has the dimensions of a map.
 func validDifference(d *peerrpc.MapDifference) bool {
-	sets, ranks, experts := int64(d.GetSets()), int64(d.GetRanks()), int64(d.GetExperts())
-	return sets > 0 && ranks > 0 && experts > 0 && sets*ranks <= maxMapEntries && sets*experts <= maxMapEntries
+	layers, ranks, experts := int64(d.GetSets()), int64(d.GetRanks()), int64(d.GetExperts())
+	return layers > 0 && ranks > 0 && experts > 0 && layers*ranks <= maxMapEntries && layers*experts <= maxMapEntries
 }
 
-// expertCount returns the number of experts in the first set of a map.
+// expertCount returns the number of experts in the first layer of a map.
 func expertCount(lists [][][]int) int {
 	highest := -1
 	for _, rank := range lists[0] {
@@ -53,14 +53,14 @@
 
 // encodeDifference returns the difference of a map from a base with the same dimensions.
 func encodeDifference(base versionedMap, lists [][][]int) *peerrpc.MapDifference {
-	sets, ranks := len(lists), len(lists[0])
-	d := &peerrpc.MapDifference{Base: base.version, Sets: int32(sets), Ranks: int32(ranks), Experts: int32(expertCount(lists))}
-	for set := range sets {
-		for rank, list := range lists[set] {
-			if slices.Equal(list, base.lists[set][rank]) {
+	layers, ranks := len(lists), len(lists[0])
+	d := &peerrpc.MapDifference{Base: base.version, Sets: int32(layers), Ranks: int32(ranks), Experts: int32(expertCount(lists))}
+	for layer := range layers {
+		for rank, list := range lists[layer] {
+			if slices.Equal(list, base.lists[layer][rank]) {
 				continue
 			}
-			d.Lists = append(d.Lists, int32(set*ranks+rank), int32(len(list)))
+			d.Lists = append(d.Lists, int32(layer*ranks+rank), int32(len(list)))
 			for _, expert := range list {
 				d.Lists = append(d.Lists, int32(expert))
 			}
@@ -72,19 +72,19 @@
 // applyDifference returns the map with a difference from base, or false if they don't
 // fit together. It doesn't modify base.
 func applyDifference(base [][][]int, d *peerrpc.MapDifference) ([][][]int, bool) {
-	sets, ranks := int(d.GetSets()), int(d.GetRanks())
-	if len(base) != sets {
+	layers, ranks := int(d.GetSets()), int(d.GetRanks())
+	if len(base) != layers {
 		return nil, false
 	}
-	lists := make([][][]int, sets)
-	for set := range lists {
-		if len(base[set]) != ranks {
+	lists := make([][][]int, layers)
+	for layer := range lists {
+		if len(base[layer]) != ranks {
 			return nil, false
 		}
-		lists[set] = slices.Clone(base[set])
+		lists[layer] = slices.Clone(base[layer])
 	}
 	for rest := d.GetLists(); len(rest) > 0; {
-		if len(rest) < 2 || rest[0] < 0 || int(rest[0]) >= sets*ranks || rest[1] < 0 || int(rest[1]) > len(rest)-2 {
+		if len(rest) < 2 || rest[0] < 0 || int(rest[0]) >= layers*ranks || rest[1] < 0 || int(rest[1]) > len(rest)-2 {
 			return nil, false
 		}
 		list := make([]int, rest[1])
--- a/internal/ranks/leader.go
+++ b/internal/ranks/leader.go
@@ -85,8 +85,8 @@
 const (
 	// pollInterval is the time between checks whether the lease may be claimed.
 	pollInterval = 50 * time.Millisecond
-	// maxPollInterval bounds the wait for the claim delay: the engine's rank or group
-	// may change meanwhile.
+	// maxPollInterval bounds the time between checks, since the engine's rank or group
+	// may change during the claim delay.
 	maxPollInterval = 250 * time.Millisecond
 	// claimTimeout bounds a claim of the lease.
 	claimTimeout = 1500 * time.Millisecond
@@ -158,7 +158,7 @@
 	l.lead(ctx, report, parameters, claimed)
 }
 
-// lead runs a holder until it is superseded.
+// lead runs a holder until it is superseded or the context ends.
 func (l *Leader) lead(ctx context.Context, report experts.RankReport, parameters Parameters, claimed experts.ClaimResult) {
 	udp, err := newUDPClient(l.options.IP, authenticator{key: []byte(l.options.Key)}, rand.Uint64())
 	if err != nil {
--- a/internal/ranks/ranks_test.go
+++ b/internal/ranks/ranks_test.go
@@ -54,10 +54,10 @@
 
 func (e *fakeEngine) Experts(context.Context, string) ([][]int, error) { return [][]int{{1}}, nil }
 
-func (e *fakeEngine) Execute(_ context.Context, _ string, o experts.Command) (experts.Result, error) {
+func (e *fakeEngine) Execute(_ context.Context, _ string, command experts.Command) (experts.Result, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.commands = append(e.commands, o)
+	e.commands = append(e.commands, command)
 	return experts.Accepted, nil
 }
 
@@ -340,7 +340,7 @@
 })
 
 // FuzzDifference checks that applying any difference neither panics nor modifies the
-// base, and that differences survive a round trip.
+// base, and that encoding the result and applying it again returns the same map.
 func FuzzDifference(f *testing.F) {
 	data, err := proto.Marshal(encodeDifference(versionedMap{lists: defaultMap(2, 3, 6)}, [][][]int{{{1, 0}, {2}, {3, 4, 5}}, {{0}, {1, 4}, {2, 3, 5}}}))
 	if err != nil {
--- a/internal/ranks/service.go
+++ b/internal/ranks/service.go
@@ -34,8 +34,8 @@
 	for _, n := range observation.Counts.Chosen {
 		reply.Chosen = append(reply.Chosen, uint32(n))
 	}
-	for _, set := range observation.Experts {
-		reply.Experts = append(reply.Experts, encodeExperts(set))
+	for _, layer := range observation.Experts {
+		reply.Experts = append(reply.Experts, encodeExperts(layer))
 	}
 	return reply, nil
 }
--- a/internal/rebalance/plan.go
+++ b/internal/rebalance/plan.go
@@ -31,10 +31,9 @@
 	Switch time.Duration
 }
 
-// gainRate returns the reduction of skew per second until a plan takes effect.
-//
-// Plans follow each other. Applying the one with the highest rate first minimizes the
-// skew over time: a long plan takes effect only after its last copy.
+// gainRate returns the reduction of skew per second until a plan takes effect, or the
+// reduction if that takes no time. Plans follow each other, and each takes effect only
+// after its last copy, so the one with the highest rate reduces the skew over time most.
 func (t Timing) gainRate(before, after float64, loads int) float64 {
 	duration := t.Switch + time.Duration(loads)*t.Copy
 	if duration <= 0 {
