--- a/standins/cmd/bench/main.go
+++ b/standins/cmd/bench/main.go
@@ -1,5 +1,5 @@
-// Command bench prints the figures of `make bench`: one line each, as
-// area/name value unit baseline ratio.
+// Command bench runs the benchmarks of `make bench` and prints a line per figure: area/name
+// value unit baseline ratio.
 package main
 
 import (
@@ -44,7 +44,7 @@
 		if !selected(area.name, args[1:]) {
 			continue
 		}
-		if err := area.run(); err != nil { // the others go on
+		if err := area.run(); err != nil { // continue with the other areas
 			failed++
 			fmt.Fprintln(os.Stderr, "bench:", errors.Wrap(err, area.name))
 		}
--- a/standins/cmd/days/main.go
+++ b/standins/cmd/days/main.go
@@ -1,5 +1,5 @@
-// Command days says from reports of played load and trouble where callers lost what
-// they were owed.
+// Command days compares reports of simulated runs with load and faults: it prints a table of
+// scores, outcomes and penalties, and plots the scores over time.
 //
 //	days --set before='r/base-*.json' --set after='r/new-*.json' --plot credit.svg
 package main
@@ -18,10 +18,10 @@
 
 func main() {
 	command := &cli.Command{
-		Name: "days", Usage: "tabulates and draws reports of played days",
+		Name: "days", Usage: "tabulate and plot reports of simulated runs",
 		Flags: []cli.Flag{
-			&cli.StringSliceFlag{Name: "set", Usage: "NAME=PATTERN: reports that are averaged under a name", Required: true},
-			&cli.StringFlag{Name: "plot", Usage: "file for a plot of the credit by second: .svg or .png"},
+			&cli.StringSliceFlag{Name: "set", Usage: "NAME=PATTERN: series of reports to average", Required: true},
+			&cli.StringFlag{Name: "plot", Usage: "file for a plot of the scores over time: .svg or .png"},
 			&cli.StringFlag{Name: "title", Usage: "title of the plot"},
 		},
 		Action: run,
@@ -57,7 +57,7 @@
 	}
 	paths, err := filepath.Glob(pattern)
 	if err != nil || len(paths) == 0 {
-		return runreport.Series{}, errors.Errorf("--set %s: no file has this pattern", flag)
+		return runreport.Series{}, errors.Errorf("--set %s: no file matches the pattern", flag)
 	}
 	series := runreport.Series{Name: name}
 	for _, path := range paths {
--- a/standins/cmd/demo/main.go
+++ b/standins/cmd/demo/main.go
@@ -1,5 +1,5 @@
-// Command demo starts two availability zones of separate processes, sends
-// traffic while a server dies and the log is cut, and checks every count.
+// Command demo starts the processes of two availability zones, sends requests while an agent
+// is killed and the log is down, and checks the outcome of every request.
 package main
 
 import (
@@ -70,9 +70,9 @@
 	if err := cluster.StopAll(); err != nil {
 		return err
 	}
-	fmt.Println("stopped: every daemon ended its planned stop")
+	fmt.Println("stopped: every daemon stopped gracefully")
 	if !report.OK() || report.NoResponse > 0 {
-		return errors.New("the counts don't add up")
+		return errors.New("checks of the outcomes failed")
 	}
 	return nil
 }
@@ -80,9 +80,9 @@
 func injectFaults(cluster *harness.Cluster) error {
 	steps := []step{
 		{2 * time.Second, "kill the agent of one engine", cluster.Processes["agent-engine-budaors-1"].Kill},
-		{time.Second, "cut the log", func() error { return cluster.InjectFault("/fault/log", `{"down":true}`) }},
-		{2 * time.Second, "planned stop of one plain server's agent", cluster.Processes["agent-plain-bp-csepel-1"].Stop},
-		{time.Second, "start both agents again, with the log still down", func() error {
+		{time.Second, "take the log down", func() error { return cluster.InjectFault("/fault/log", `{"down":true}`) }},
+		{2 * time.Second, "stop the agent of one plain server gracefully", cluster.Processes["agent-plain-bp-csepel-1"].Stop},
+		{time.Second, "start both agents while the log is down", func() error {
 			if err := cluster.Processes["agent-plain-bp-csepel-1"].Start(); err != nil {
 				return err
 			}
--- a/standins/cmd/soak/main.go
+++ b/standins/cmd/soak/main.go
@@ -1,4 +1,4 @@
-// Command soak runs seeds of the fault soak and prints what each found:
+// Command soak runs seeds of the fault soak and prints the result of each:
 // soak [--first N] [--seeds N] [--length D] [--logs DIR] BIN.
 package main
 
@@ -16,12 +16,12 @@
 
 func main() {
 	app := &cli.Command{
-		Name: "soak", Usage: "inject faults into real processes and check the promises", ArgsUsage: "BIN",
+		Name: "soak", Usage: "inject faults into real processes and check the guarantees", ArgsUsage: "BIN",
 		Flags: []cli.Flag{
 			&cli.Uint64Flag{Name: "first", Value: 1, Usage: "first seed"},
-			&cli.IntFlag{Name: "seeds", Value: 1, Usage: "how many seeds"},
-			&cli.DurationFlag{Name: "length", Value: 10 * time.Second, Usage: "how long faults are injected, a seed"},
-			&cli.StringFlag{Name: "logs", Usage: "folder for the logs of failed seeds; a new one if empty"},
+			&cli.IntFlag{Name: "seeds", Value: 1, Usage: "number of seeds"},
+			&cli.DurationFlag{Name: "length", Value: 10 * time.Second, Usage: "duration of fault injection per seed"},
+			&cli.StringFlag{Name: "logs", Usage: "directory for the logs of failed seeds; a temporary one if empty"},
 		},
 		Action: runSeeds,
 	}
--- a/standins/cmd/standin/main.go
+++ b/standins/cmd/standin/main.go
@@ -1,4 +1,5 @@
-// Command standin runs one of the stand-ins as a process of its own.
+// Command standin runs one of the test doubles of external systems, the fault proxy or the
+// load generator as a process.
 package main
 
 import (
@@ -22,7 +23,7 @@
 
 func main() {
 	app := &cli.Command{
-		Name: "standin", Usage: "stand-ins for what crowbridge meets outside",
+		Name: "standin", Usage: "test doubles of the systems around crowbridge",
 		Commands: []*cli.Command{platformCommand(), engineCommand(), groupCommand(), plainCommand(), loadCommand(), relayCommand()},
 	}
 	if err := app.Run(context.Background(), os.Args); err != nil {
@@ -33,7 +34,7 @@
 
 func platformCommand() *cli.Command {
 	return &cli.Command{
-		Name: "platform", Usage: "the platform's store",
+		Name: "platform", Usage: "store of the users' platform",
 		Flags: []cli.Flag{
 			&cli.StringSliceFlag{Name: "zone", Usage: "zone=IP:port"},
 			&cli.StringFlag{Name: "listen", Usage: "IP:port of the control port"},
@@ -63,8 +64,8 @@
 	return []cli.Flag{
 		&cli.StringFlag{Name: "name"},
 		&cli.StringFlag{Name: "listen", Usage: "IP:port"},
-		&cli.StringFlag{Name: "recorder", Usage: "URL of the platform stand-in's control port"},
-		&cli.DurationFlag{Name: "step", Value: 6 * time.Millisecond, Usage: "time of one step, or of one plain call"},
+		&cli.StringFlag{Name: "recorder", Usage: "URL of the platform double's control port"},
+		&cli.DurationFlag{Name: "step", Value: 6 * time.Millisecond, Usage: "duration of a step or of a plain call"},
 		&cli.IntFlag{Name: "batch", Value: 8},
 	}
 }
@@ -85,15 +86,15 @@
 
 func groupCommand() *cli.Command {
 	return &cli.Command{
-		Name: "group", Usage: "engines that are the ranks of a group, in lock-step",
+		Name: "group", Usage: "engines of a group that run in lock-step",
 		Flags: []cli.Flag{
 			&cli.StringFlag{Name: "name"},
 			&cli.StringFlag{Name: "listen", Usage: "IP:port of the control port"},
 			&cli.StringSliceFlag{Name: "rank", Usage: "IP:port of a rank's engine, in the order of ranks"},
-			&cli.StringFlag{Name: "recorder", Usage: "URL of the platform stand-in's control port"},
+			&cli.StringFlag{Name: "recorder", Usage: "URL of the platform double's control port"},
 			&cli.IntFlag{Name: "experts"},
 			&cli.IntFlag{Name: "sets"},
-			&cli.DurationFlag{Name: "step", Value: 6 * time.Millisecond, Usage: "time of one pass"},
+			&cli.DurationFlag{Name: "step", Value: 6 * time.Millisecond, Usage: "duration of a pass"},
 			&cli.BoolFlag{Name: "ignore-fences"},
 		},
 		Action: runGroup,
@@ -132,7 +133,7 @@
 	}
 }
 
-// exitEnded is the exit code of a server that a call has ended.
+// exitCrashed is the exit code after a call with plainserver.CrashMarker.
 const exitCrashed = 3
 
 func serve(cmd *cli.Command, handler http.Handler) error {
@@ -146,7 +147,7 @@
 
 func relayCommand() *cli.Command {
 	return &cli.Command{
-		Name: "relay", Usage: "proxy between processes",
+		Name: "relay", Usage: "TCP proxy that injects network faults",
 		Flags: []cli.Flag{
 			&cli.StringSliceFlag{Name: "pair", Usage: "listen=target"},
 			&cli.StringFlag{Name: "listen", Usage: "IP:port of the control port; empty for none"},
@@ -165,16 +166,16 @@
 
 func loadCommand() *cli.Command {
 	return &cli.Command{
-		Name: "load", Usage: "send requests and check every answer",
+		Name: "load", Usage: "send requests and check every response",
 		Flags: []cli.Flag{
 			&cli.StringSliceFlag{Name: "entry"},
 			&cli.StringSliceFlag{Name: "key"},
 			&cli.IntFlag{Name: "rate", Value: 50},
 			&cli.DurationFlag{Name: "duration", Value: 5 * time.Second},
 			&cli.IntFlag{Name: "tokens", Value: 8},
-			&cli.IntFlag{Name: "plain", Value: 40, Usage: "per cent of plain calls"},
-			&cli.IntFlag{Name: "stream", Value: 30, Usage: "per cent of streams"},
-			&cli.IntFlag{Name: "unkeyed", Value: 20, Usage: "per cent of plain calls without a key"},
+			&cli.IntFlag{Name: "plain", Value: 40, Usage: "percentage of plain calls"},
+			&cli.IntFlag{Name: "stream", Value: 30, Usage: "percentage of streams"},
+			&cli.IntFlag{Name: "unkeyed", Value: 20, Usage: "percentage of plain calls without an idempotency key"},
 			&cli.IntFlag{Name: "deadline-ms", Value: 10000},
 			&cli.IntFlag{Name: "asks", Value: 20},
 			&cli.StringFlag{Name: "runs"},
@@ -194,7 +195,7 @@
 				fmt.Println(" ", note)
 			}
 			if !report.OK() {
-				return errors.New("the counts don't add up")
+				return errors.New("checks of the outcomes failed")
 			}
 			return nil
 		},
