--- a/internal/dispatch/admission.go
+++ b/internal/dispatch/admission.go
@@ -15,16 +15,16 @@
 	// that was refused before, whose caller may not try a third time.
 	maxUtilization      = 1.05
 	maxUtilizationRetry = 1.5
-	// priorityGapStep lowers the threshold for each rank of priority below the most urgent of
-	// the service, for at most maxPriorityGap ranks, so that less urgent work is refused first
+	// priorityGapStep lowers the threshold for each level of priority below the most urgent of
+	// the service, for at most maxPriorityGap levels, so that less urgent work is refused first
 	// but never entirely.
 	priorityGapStep = 0.1
 	maxPriorityGap  = 3
-	// maxUtilizationOverShare applies to a customer that exceeds its share of the slots in use.
-	// It is only slightly lower, so that customers that are merely busy lose little.
+	// maxUtilizationOverShare applies to a customer that exceeds its share of the requests in
+	// progress. It is only slightly lower, so that customers that are merely busy lose little.
 	maxUtilizationOverShare = 1.0
-	// maxUtilizationPlain applies, for services without groups, to customers that exceed their
-	// share: as many requests wait as run. Other customers are refused by the servers only.
+	// maxUtilizationPlain applies to all requests but streams at ranks, if the customer exceeds
+	// its share: as many requests wait as run. Other customers are refused by the servers only.
 	maxUtilizationPlain = 2.0
 	// minRetryAfter and maxRetryAfter bound the randomized retry hint, which keeps refused
 	// callers from returning all at once.
@@ -32,8 +32,8 @@
 	maxRetryAfter = 2200 * time.Millisecond
 )
 
-// admit refuses a request if the servers are so busy that it would be late, or if its customer
-// exceeds its share.
+// admit refuses a request if the servers' utilization has reached the limit for it. A request
+// that is admitted counts as its customer's in progress.
 func (p *Pipeline) admit(x *exchange, choice Choice) *failure.Error {
 	if x.started {
 		return nil
@@ -56,7 +56,7 @@
 			choice.Utilization, limit, overShare)).WithRetryAfter(minRetryAfter + spread)
 }
 
-// acquireSlot counts an admitted request as its customer's, once.
+// acquireSlot counts an admitted request as one of its customer's in progress, once.
 func (p *Pipeline) acquireSlot(x *exchange) {
 	if !x.hasSlot {
 		x.hasSlot = true
@@ -64,8 +64,8 @@
 	}
 }
 
-// utilizationLimit returns the utilization of a group at which a stream is refused. Slow
-// passes are not considered: rebalancing of experts recovers within a second.
+// utilizationLimit returns the utilization at which a stream is refused. Slow passes are not
+// considered: rebalancing of experts recovers within a second.
 func utilizationLimit(x *exchange, overShare bool) float64 {
 	limit := maxUtilization
 	switch {
--- a/internal/dispatch/attempt.go
+++ b/internal/dispatch/attempt.go
@@ -107,7 +107,7 @@
 		x.sentAttempts++
 		x.mayHaveRun = true
 		step, outcome = failure.StepRun, failure.OutcomeUnknown
-		p.recordConnectionLost(ctx, x, server, e)
+		p.recordConnectionLoss(ctx, x, server, e)
 	}
 	if !e.Sent {
 		p.recordConnectionRefused(server, e)
--- a/internal/dispatch/balancer.go
+++ b/internal/dispatch/balancer.go
@@ -56,7 +56,7 @@
 	latency             float64 // smoothed, in seconds
 	// report is the availability that the server itself reports.
 	report eligibility.Report
-	// cachedQuota is one more than this entry's share of the server's quotaTotal connections; 0
+	// cachedQuota is one more than this entry's quota of the server's quotaTotal connections; 0
 	// when it has to be computed.
 	cachedQuota, quotaTotal int
 }
@@ -142,8 +142,8 @@
 	return !bounded || s.inFlight < quota
 }
 
-// ConnectionQuota returns how many connections this entry may have to a server, or 0 if there
-// is no bound.
+// ConnectionQuota returns how many connections this entry may have to a server. It returns 0 if
+// there is no bound, and also if the quota is 0: Choose selects no such server.
 func (b *Balancer) ConnectionQuota(server string, r *Request) int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -167,12 +167,13 @@
 	return s
 }
 
-// reportRetention is how long a server's self-report outlives its registration. A registration
-// may reappear seconds later from a stale peer, and after store outages that last minutes.
+// reportRetention is how long the last self-report of an unregistered server is kept. A
+// registration may reappear seconds later from a stale peer, and after store outages that last
+// minutes.
 const reportRetention = 10 * time.Minute
 
-// Prune drops unregistered servers without requests in progress, and groups without registered
-// ranks.
+// Prune drops unregistered servers without requests in progress once reportRetention has
+// passed, and groups without registered ranks.
 func (b *Balancer) Prune(servers *fleet.Servers, now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/dispatch/budget.go
+++ b/internal/dispatch/budget.go
@@ -24,8 +24,8 @@
 	// ratioMargin is the fraction of Ratio that an entry uses, because retries may belong to
 	// requests of the previous window.
 	ratioMargin = 0.6
-	// minExtraShares is the minimum number of shares of Extra, so that an entry that doesn't
-	// know all others can't overspend: 8 entries of a small deployment and 3 spares, rounded up.
+	// minExtraShares is the minimum number of shares into which Extra is divided, so that this
+	// many entries can't overspend even if they don't know each other.
 	minExtraShares = 12
 )
 
--- a/internal/dispatch/choose.go
+++ b/internal/dispatch/choose.go
@@ -23,7 +23,7 @@
 	// during its backoff because there was no other.
 	Failures   int
 	BackingOff bool
-	// Excluded counts the servers that accept no requests.
+	// Excluded counts the servers that have reported that they are resting or leaving.
 	Excluded int
 	// Limited counts the servers whose rate limit is exhausted.
 	Limited int
@@ -35,11 +35,10 @@
 // count.
 const loadFreshness = time.Second
 
-// Choose implements Chooser. It selects by the least estimated load. Servers that are leaving,
-// resting, rate-limited or out of connections are never chosen. Servers in backoff, slow ranks
-// and unresponsive VMs are chosen only if there is no other. The same holds, for a suspect
-// request, for servers that run another suspect: a crash under both would incriminate the
-// innocent one.
+// Choose implements Chooser. It selects the best score among a few random servers. Servers that
+// are leaving, resting, rate-limited or out of connections are never selected; servers in
+// backoff, slow ranks and unresponsive VMs only if there is no other. The same holds, for a
+// suspect request, for servers that run another suspect: a crash would count against both.
 func (b *Balancer) Choose(now time.Time, servers []*fleet.Server, request *Request, tried []string) Choice {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -103,9 +102,9 @@
 	}
 }
 
-// choicesPerZone is the number of random candidates among which the best is chosen. Load
-// reports lag: if all entries chose the overall best, they would overload it before its
-// reports show that.
+// choicesPerZone is the number of random candidates of the entry's own zone, and of all other
+// zones, among which the best is chosen. Load reports lag: if all entries chose the overall
+// best, they would overload it before its reports show that.
 const choicesPerZone = 3
 
 // healthyCandidates returns the candidates that are not in backoff, slow or unresponsive, or
@@ -124,8 +123,8 @@
 	return candidates[:healthy]
 }
 
-// bestByZone returns the lowest score among random candidates of the entry's own zone and as
-// many of other zones. It reorders the candidates.
+// bestByZone returns the best of a few random candidates of the entry's own zone and as many of
+// other zones. It reorders the candidates.
 func (b *Balancer) bestByZone(candidates []candidate) candidate {
 	local := 0
 	for i, c := range candidates {
@@ -141,8 +140,8 @@
 	return nearest
 }
 
-// bestOfRandom returns the lowest score among random candidates, or none. It reorders the
-// candidates.
+// bestOfRandom returns the random candidate with the lowest score, or the zero candidate if
+// there is none. It reorders the candidates.
 func (b *Balancer) bestOfRandom(candidates []candidate) candidate {
 	var best candidate
 	for i := range min(choicesPerZone, len(candidates)) {
--- a/internal/dispatch/choose_bench_test.go
+++ b/internal/dispatch/choose_bench_test.go
@@ -27,7 +27,7 @@
 	}
 }
 
-// BenchmarkChooseOfService selects a server among those that a service allows.
+// BenchmarkChooseOfService selects a server among all servers of a service.
 func BenchmarkChooseOfService(b *testing.B) {
 	for _, n := range []int{16, 256, 2400} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
--- a/internal/dispatch/exclusion.go
+++ b/internal/dispatch/exclusion.go
@@ -58,18 +58,17 @@
 }
 
 // refuseNoServer refuses a request for which no server is eligible. If all are resting or
-// rate-limited, it is refused at once with the time at which the first becomes eligible,
-// instead of queueing here.
+// rate-limited, the caller retries when the first becomes eligible, instead of waiting here.
 func (p *Pipeline) refuseNoServer(x *exchange) *failure.Error {
 	retryAfter, limited := p.earliestRetryAfter(x)
 	switch {
 	case limited:
 		countLimitRefusal(x.Service)
 		return failure.NotRun(failure.StepQueue, x.Service, failure.CodeLimited,
-			"the rate limits of all eligible servers are exhausted").WithRetryAfter(retryAfter)
+			"all servers that aren't resting or leaving are rate-limited").WithRetryAfter(retryAfter)
 	case retryAfter > 0:
 		return failure.NotRun(failure.StepQueue, x.Service, failure.CodeResting,
-			"all eligible servers are resting or rate-limited").WithRetryAfter(retryAfter)
+			"all allowed servers are resting or leaving").WithRetryAfter(retryAfter)
 	case x.choice.Full > 0:
 		spread := time.Duration(p.balancer.random(int(retryAfterSpread.Milliseconds()))) * time.Millisecond
 		return failure.NotRun(failure.StepQueue, x.Service, failure.CodeOverloaded,
@@ -93,7 +92,8 @@
 }
 
 // earliestRetryAfter returns a randomized retry hint while no server is eligible for a
-// request: 0 if one is, or if none will be. limited is set when rate limits end first.
+// request: 0 if one is, or if none will be. limited is set if any server that isn't resting is
+// rate-limited.
 func (p *Pipeline) earliestRetryAfter(x *exchange) (retryAfter time.Duration, limited bool) {
 	servers, _ := p.fleet.Allowed(x.Service, x.request.Customer)
 	earliest := p.chooser.EarliestEligible(p.now(), servers, x.request)
@@ -107,8 +107,8 @@
 	return spread, false
 }
 
-// spreadRetryAfter returns a randomized retry hint while all servers rest, the first of them
-// for the given time.
+// spreadRetryAfter returns a randomized retry hint of at least earliest, the time until the
+// first server becomes eligible.
 func (p *Pipeline) spreadRetryAfter(earliest time.Duration) time.Duration {
 	spread := time.Duration(p.balancer.random(int(retryAfterSpread.Milliseconds()))) * time.Millisecond
 	return max(earliest+spread, noServerRetryAfter)
--- a/internal/dispatch/fairness.go
+++ b/internal/dispatch/fairness.go
@@ -4,8 +4,8 @@
 
 const (
 	// maxShareFactor is how many times the other active customers' average of requests in
-	// progress a customer may have. minShare is always allowed, since the few requests at one
-	// entry vary.
+	// progress a customer may have. minShare is always allowed, since the numbers at one entry
+	// are small and vary.
 	maxShareFactor = 2
 	minShare       = 2
 	// activeWindow is how long a customer counts as active after its last request, including
--- a/internal/dispatch/group_test.go
+++ b/internal/dispatch/group_test.go
@@ -32,7 +32,7 @@
 		Expect(b.backend.attempts).To(HaveLen(1))
 	})
 
-	It("uses no retries of requests that no group can run", func() {
+	It("doesn't use up the retry budget", func() {
 		const refusals = 200 // many times the retry budget
 		var replies []reply
 		for range refusals {
@@ -92,7 +92,7 @@
 		}
 	})
 
-	It("reopens on a report of a higher epoch only", func() {
+	It("is reopened by a registration with a higher epoch, not by one with the same epoch", func() {
 		b := newFixture()
 		breakGroup(b)
 		server := b.fleet.Servers().ByID("r0")
--- a/internal/dispatch/groupevents.go
+++ b/internal/dispatch/groupevents.go
@@ -6,8 +6,8 @@
 	"github.com/crowbridge/crowbridge/internal/fleet"
 )
 
-// eventFreshness is how long after an event a group's streams count as active: four of the
-// longest pauses between events that callers accept.
+// eventFreshness is how long after an event a group's streams count as active: several times
+// the largest MaxEventGap of routes.
 const eventFreshness = 500 * time.Millisecond
 
 // recordEvent records an event on one of this entry's streams.
--- a/internal/dispatch/groupstate.go
+++ b/internal/dispatch/groupstate.go
@@ -8,8 +8,8 @@
 
 // groupState is the state of a group of ranks.
 type groupState struct {
-	// brokenAt is when the group was first reported broken, or zero if it isn't; brokenEpoch is
-	// the highest epoch reported broken.
+	// brokenAt is when the group was first reported broken in the current outage, or zero if it
+	// isn't broken; brokenEpoch is the highest epoch reported broken.
 	brokenAt    time.Time
 	brokenEpoch int64
 	// reportedAt is the time of the last agent report, epoch the highest epoch reported.
@@ -95,8 +95,8 @@
 	return nil, latest
 }
 
-// brokenFor returns how long a server's group has been broken, if it is. The caller holds
-// b.mu.
+// brokenFor returns how long a server's group has been broken, if it is, after applying the
+// server's registration to the group's state. The caller holds b.mu.
 func (b *Balancer) brokenFor(server *fleet.Server, now time.Time) (time.Duration, bool) {
 	if server.Rank == nil {
 		return 0, false
--- a/internal/dispatch/limits.go
+++ b/internal/dispatch/limits.go
@@ -42,7 +42,7 @@
 }
 
 // impliesNoLimit reports whether a response without a limit means that the server has none.
-// That holds for complete responses of the server to this request only.
+// That holds only for the server's own response to this request, unless it is a server error.
 func impliesNoLimit(x *exchange, response *Response) bool {
 	info := response.Info
 	return info.Limit.Authoritative && info.Limit.Invalid == "" && info.Signed && info.RequestID == x.request.ID &&
@@ -54,8 +54,8 @@
 	return b.limits.Acquire(server, r.tokenRequest(), now)
 }
 
-// recordLimitRefusal records that a caller is refused if rate limits are the first obstacle,
-// and returns its retry delay; 0 if they aren't.
+// recordLimitRefusal records that a caller is refused by the rate limits of the servers that are
+// neither resting nor leaving, and returns its retry delay; 0 if none of them has a limit.
 func (b *Balancer) recordLimitRefusal(servers []*fleet.Server, r *Request, now time.Time) time.Duration {
 	if !b.limits.Any() {
 		return 0
--- a/internal/dispatch/limits_test.go
+++ b/internal/dispatch/limits_test.go
@@ -37,7 +37,8 @@
 	minLimitUse = 0.8
 )
 
-// maxInWindow is 1.5 times the limit plus 5 requests in flight.
+// maxInWindow returns the maximum number of requests in a window: 1.5 times the limit, plus 5 in
+// flight.
 func maxInWindow(limit float64) int { return int(1.5*limit*limitWindow.Seconds()) + 5 }
 
 // limitedServers is a Backend whose servers report limits and record arrivals.
--- a/internal/dispatch/pipeline.go
+++ b/internal/dispatch/pipeline.go
@@ -73,7 +73,7 @@
 	mayHaveRun bool
 	started    bool
 	// hasRetryToken is set when a retry was acquired in advance for the next attempt,
-	// retryTokenUnused until the attempt begins.
+	// retryTokenUnused from the decision to retry until the attempt begins.
 	hasRetryToken, retryTokenUnused bool
 	// hasSlot is set while the request counts as one of its customer's in progress.
 	hasSlot bool
@@ -338,10 +338,10 @@
 	return f
 }
 
-// fixedRetryAfter holds the codes whose retry hint must not be shortened to the caller's
-// deadline: an earlier retry can't succeed.
+// fixedRetryAfter holds the codes whose retry hint isn't bounded by the caller's remaining time:
+// an earlier retry can't succeed.
 var fixedRetryAfter = map[failure.Code]bool{failure.CodeQuarantined: true, failure.CodeResting: true, failure.CodeLimited: true}
 
-// retryAfterDivisor bounds retry hints to this fraction of the remaining time. Callers ignore
-// longer hints.
+// retryAfterDivisor is the divisor of the remaining time that gives the longest retry hint.
+// Callers ignore longer ones.
 const retryAfterDivisor = 3
--- a/internal/dispatch/quarantine.go
+++ b/internal/dispatch/quarantine.go
@@ -21,11 +21,13 @@
 	// Admit decides whether a request may be sent to a server. A healthy or suspect request
 	// counts as in progress until Done.
 	Admit(d quarantine.Digest) quarantine.Decision
+	// Done ends an attempt that Admit permitted.
 	Done(d quarantine.Digest)
-	// RecordConnectionLoss records that a server's connection was lost during a request, MarkExited
-	// that the server has exited, and RecordSuccess that the request completed successfully.
-	RecordConnectionLoss(d quarantine.Digest, about quarantine.RequestInfo, server *fleet.Server)
+	// RecordConnectionLoss records that the connection to a server was lost during a request.
+	RecordConnectionLoss(d quarantine.Digest, info quarantine.RequestInfo, server *fleet.Server)
+	// MarkExited records that a server, given by its key, has exited.
 	MarkExited(server, cause string)
+	// RecordSuccess records that a request completed successfully.
 	RecordSuccess(d quarantine.Digest)
 }
 
@@ -34,7 +36,7 @@
 
 const (
 	// pendingTimeout is how long a request waits for a pending decision: slightly longer than it
-	// takes to probe whether a server has exited.
+	// takes to probe whether a server that isn't a rank has exited.
 	pendingTimeout = 250 * time.Millisecond
 	// pendingPollInterval is how often a pending decision is checked.
 	pendingPollInterval = 10 * time.Millisecond
@@ -43,7 +45,7 @@
 )
 
 // checkQuarantine admits a request, or refuses it because servers crash while they run it.
-// Requests are identified by digest, since a repetition by the caller has another ID.
+// Requests are identified by digest, since a caller's retry has another ID.
 func (p *Pipeline) checkQuarantine(ctx context.Context, x *exchange) *failure.Error {
 	p.releaseQuarantine(x)
 	x.request.Suspect = false
@@ -70,8 +72,8 @@
 	}
 }
 
-// quarantineActive reports whether digests are needed. Computing one takes up to 1 ms for a
-// body of 1 MB, so it is skipped while the quarantine is empty.
+// quarantineActive reports whether digests are needed. Computing one hashes the whole body, so
+// it is skipped while the quarantine is empty.
 func (p *Pipeline) quarantineActive() bool { return p.quarantine != nil && !p.quarantine.Empty() }
 
 // refuseUnsent returns the failure of a request that isn't sent to a server. A request with an
@@ -83,7 +85,7 @@
 	return failure.NotRun(step, peer, code, detail)
 }
 
-// releaseQuarantine ends the request's progress in the quarantine.
+// releaseQuarantine reports to the quarantine that the request is no longer in progress.
 func (p *Pipeline) releaseQuarantine(x *exchange) {
 	if x.admitted {
 		x.admitted = false
@@ -91,14 +93,14 @@
 	}
 }
 
-// recordConnectionLost records that an attempt's connection was lost while the server may have
+// recordConnectionLoss records that an attempt's connection was lost while the server may have
 // been running the request, unless this entry or the caller closed it.
-func (p *Pipeline) recordConnectionLost(ctx context.Context, x *exchange, server *fleet.Server, err error) {
+func (p *Pipeline) recordConnectionLoss(ctx context.Context, x *exchange, server *fleet.Server, err error) {
 	if ctx.Err() != nil || errors.Is(err, errCallerGone) {
 		return
 	}
 	x.connectionLost = true
-	countConnectionLost(x)
+	countConnectionLoss(x)
 	if p.quarantine != nil {
 		p.quarantine.RecordConnectionLoss(x.request.digest(), quarantine.NewRequestInfo(x.request.Customer, x.request.URI), server)
 	}
--- a/internal/dispatch/quarantine_test.go
+++ b/internal/dispatch/quarantine_test.go
@@ -18,8 +18,8 @@
 type fakeQuarantine struct {
 	decisions               []quarantine.Decision // one per Admit; the last one is repeated
 	connectionsLost, exited []string
-	served                  int
-	admitted, released      int
+	successes               int
+	admitted, done          int
 	empty                   bool
 }
 
@@ -30,17 +30,17 @@
 		q.admitted++
 		return quarantine.Decision{}
 	}
-	v := q.decisions[0]
+	decision := q.decisions[0]
 	if len(q.decisions) > 1 {
 		q.decisions = q.decisions[1:]
 	}
-	if v.State == quarantine.Healthy || v.State == quarantine.Suspect {
+	if decision.State == quarantine.Healthy || decision.State == quarantine.Suspect {
 		q.admitted++
 	}
-	return v
+	return decision
 }
 
-func (q *fakeQuarantine) Done(quarantine.Digest) { q.released++ }
+func (q *fakeQuarantine) Done(quarantine.Digest) { q.done++ }
 
 func (q *fakeQuarantine) RecordConnectionLoss(_ quarantine.Digest, _ quarantine.RequestInfo, server *fleet.Server) {
 	q.connectionsLost = append(q.connectionsLost, server.ID)
@@ -48,7 +48,7 @@
 
 func (q *fakeQuarantine) MarkExited(server, _ string) { q.exited = append(q.exited, server) }
 
-func (q *fakeQuarantine) RecordSuccess(quarantine.Digest) { q.served++ }
+func (q *fakeQuarantine) RecordSuccess(quarantine.Digest) { q.successes++ }
 
 // refusesConnections is a server whose process has exited.
 func refusesConnections(*Request, Attempt) (*Response, *SendError) {
@@ -82,7 +82,7 @@
 		Expect(f.Code).To(Equal(failure.CodeQuarantined))
 		Expect(f.Outcome).To(Equal(failure.OutcomeUnknown), "it has run")
 		Expect(b.backend.attempts).To(HaveLen(1))
-		Expect(q.released).To(Equal(q.admitted))
+		Expect(q.done).To(Equal(q.admitted))
 	})
 
 	It("delays a request while the decision is pending, for a limited time", func() {
@@ -90,7 +90,7 @@
 		pending := quarantine.Decision{State: quarantine.Pending}
 		q.decisions = []quarantine.Decision{pending, pending, {State: quarantine.Suspect}}
 		Expect(b.serve("once").Failure).To(BeNil())
-		Expect(q.served).To(Equal(1))
+		Expect(q.successes).To(Equal(1))
 		b, q = with()
 		q.decisions = []quarantine.Decision{pending}
 		now := b.now
@@ -104,7 +104,7 @@
 		Expect(f.RetryAfter).To(BeNumerically(">", 0))
 	})
 
-	It("is notified of connections lost by servers, not of those closed by callers or this process", func() {
+	It("is notified of connections lost by servers, not of those closed because the request was canceled", func() {
 		b, q := with(failsToSend(true), resetsAfter("id: 1\ndata: a\n\n"))
 		b.serve("once")
 		b.serve("fixed")
@@ -114,7 +114,7 @@
 		time.AfterFunc(time.Millisecond, cancel)
 		b.pipeline.Serve(ctx, b.request("once", 8*time.Second), b.recorder)
 		Expect(q.connectionsLost).To(BeEmpty())
-		Expect(q.released).To(Equal(q.admitted))
+		Expect(q.done).To(Equal(q.admitted))
 	})
 
 	It("is not consulted while empty, but is notified of lost connections", func() {
@@ -122,7 +122,7 @@
 		q.empty = true
 		Expect(b.serve("once").Failure).To(BeNil())
 		b.serve("once")
-		Expect(q.admitted + q.served).To(BeZero())
+		Expect(q.admitted + q.successes).To(BeZero())
 		Expect(q.connectionsLost).To(HaveLen(1))
 	})
 
@@ -132,7 +132,7 @@
 		Expect(q.exited).To(Equal([]string{"a", "b"}))
 	})
 
-	It("is not notified of an exit when only a connection is lost", func() {
+	It("is not notified when a request could not be sent, or was refused", func() {
 		b, q := with(failsToSend(false), refuses(ResponseInfo{}))
 		b.serve("once")
 		Expect(q.exited).To(BeEmpty())
--- a/internal/dispatch/record.go
+++ b/internal/dispatch/record.go
@@ -99,8 +99,8 @@
 // maxLoadAge is exceeded only when there was no report.
 const maxLoadAge = 24 * time.Hour
 
-// countConnectionLost counts an attempt whose connection was lost.
-func countConnectionLost(x *exchange) {
+// countConnectionLoss counts an attempt whose connection was lost.
+func countConnectionLoss(x *exchange) {
 	metrics.GetOrCreateCounter(`crowbridge_attempts_cut_off_total{service="` + x.Service + `"}`).Inc()
 }
 
--- a/internal/dispatch/relay.go
+++ b/internal/dispatch/relay.go
@@ -11,8 +11,8 @@
 	"github.com/pkg/errors"
 )
 
-// maxBufferedResponse is the largest response, in bytes, that is read completely before it is
-// relayed, so that the request can be retried if the response is truncated.
+// maxBufferedResponse is the size, in bytes, below which a response is read completely before it
+// is relayed, so that the request can be retried if the response is truncated.
 const maxBufferedResponse = 256 << 10
 
 // errNoEndEvent is the error of a stream that ends without its end event.
@@ -70,7 +70,7 @@
 	if cause := context.Cause(ctx); errors.Is(cause, errStalled) || errors.Is(cause, errUnresponsive) {
 		return failure.Unknown(failure.StepRelay, server.ID, failure.CodeSlow, cause.Error())
 	}
-	p.recordConnectionLost(ctx, x, server, err)
+	p.recordConnectionLoss(ctx, x, server, err)
 	if ctx.Err() == nil && !errors.Is(err, errCallerGone) {
 		p.chooser.RecordFailure(server.Key(), p.now())
 	}
@@ -131,7 +131,8 @@
 	w.Start(response.Status, response.Header, -1)
 }
 
-// handleBrokenStream relays the events before the break and returns the failure.
+// handleBrokenStream relays the events before the break and returns the failure. If the caller
+// has received nothing yet, they are dropped: the stream may restart from the beginning.
 func (p *Pipeline) handleBrokenStream(ctx context.Context, x *exchange, server *fleet.Server, pending []byte, w ResponseWriter, err error) *failure.Error {
 	if len(pending) > 0 && x.started && w.Write(pending) != nil {
 		return p.handleBrokenResponse(ctx, x, server, errCallerGone)
--- a/internal/dispatch/response.go
+++ b/internal/dispatch/response.go
@@ -16,7 +16,7 @@
 			f.RetryAfter = p.retryAfter(x)
 		}
 		if f.Code == failure.CodeServerLost && f.Outcome == failure.OutcomeUnknown {
-			p.recordConnectionLost(ctx, x, server, f)
+			p.recordConnectionLoss(ctx, x, server, f)
 		}
 		return f
 	}
--- a/internal/dispatch/stall.go
+++ b/internal/dispatch/stall.go
@@ -11,7 +11,7 @@
 
 const (
 	// stallTimeout is how long a stream may lack events, while others of its group receive them,
-	// before it resumes at another server. It is ten times the longest pause that routes allow,
+	// before it resumes at another server. It is several times the largest MaxEventGap of routes,
 	// and less than the two seconds after which callers give up.
 	stallTimeout = 1200 * time.Millisecond
 	// checksPerStall is how many times per stallTimeout a stalled stream checks whether others
@@ -27,8 +27,8 @@
 
 // stallDetector cancels the attempt of a stream that stalls while others of its group don't.
 // If a whole group stalls, no other rank would do better. Before its first event, a stream may
-// be queued: it then counts as stalled only if its server's VM is unresponsive, too. The
-// methods of a nil detector do nothing.
+// be queued: it then counts as stalled only if its server's VM is unresponsive, too. recordEvent
+// and stop do nothing on a nil detector.
 type stallDetector struct {
 	pipeline *Pipeline
 	exchange *exchange // the fields read here don't change during the attempt
@@ -65,7 +65,7 @@
 	d.lastEventAt, d.started = time.Now(), true
 }
 
-// stop stops the detector.
+// stop ends the monitoring; a check by a timer that has already fired does nothing.
 func (d *stallDetector) stop() {
 	if d == nil {
 		return
--- a/internal/dispatch/types.go
+++ b/internal/dispatch/types.go
@@ -44,10 +44,10 @@
 	Customer string
 	Priority int
 	// Suspect is set when a server crashed while running the request and the request hasn't
-	// succeeded since. Suspects are kept on different servers.
+	// succeeded since. Suspects are kept on different servers if possible.
 	Suspect bool
 	// priorityGap is how much less urgent the request is than the most urgent of its service;
-	// isRetry is set when its caller was refused before.
+	// isRetry is set when its caller seems to have been refused before.
 	priorityGap int
 	isRetry     bool
 	// maxConnections is how many connections each server of the service accepts from all VMs, or
@@ -127,8 +127,8 @@
 
 // ReportedLimit is the rate limit that a response reports for its server.
 type ReportedLimit struct {
-	// Authoritative is set when the response is the server's own: no limit is reported if there
-	// is none.
+	// Authoritative is set when the response is the server's own. If it reports no limit, the
+	// server has none.
 	Authoritative bool
 	// Present is set when there is a limit: requests per second from all VMs together.
 	Present   bool
@@ -206,7 +206,7 @@
 	// EarliestEligible returns how long until the first of the resting or rate-limited
 	// candidates accepts requests: 0 if one accepts them now, or if none will.
 	EarliestEligible(now time.Time, candidates []*fleet.Server, r *Request) time.Duration
-	// AcquireRetry takes one retry from the budget.
+	// AcquireRetry takes one retry from the budget and reports whether there was one.
 	AcquireRetry(service, customer string, now time.Time) bool
 	// ReleaseRetry returns a retry that was acquired and not used.
 	ReleaseRetry(service, customer string, now time.Time)
