--- a/internal/crash/detector.go
+++ b/internal/crash/detector.go
@@ -121,8 +121,8 @@
 	}
 }
 
-// RecordConnectionLoss implements dispatch.Quarantine. Connections lost at leaving servers are not
-// evidence against the request.
+// RecordConnectionLoss implements dispatch.Quarantine. Connections lost at leaving or unknown
+// servers are not evidence against the request.
 func (det *Detector) RecordConnectionLoss(d quarantine.Digest, info quarantine.RequestInfo, server *fleet.Server) {
 	if registered := det.registered(server.Key()); registered == nil || det.isLeaving(registered) {
 		return
@@ -259,8 +259,8 @@
 	}
 }
 
-// SetServers sets the servers from the operators' list and returns the previous ones. Removal
-// from this list does not count as an exit.
+// SetServers sets the known servers and returns the previous ones. Unlike with UpdateRegistry,
+// a removal does not count as an exit.
 func (det *Detector) SetServers(servers *fleet.Servers) (previous *fleet.Servers) {
 	det.mu.Lock()
 	defer det.mu.Unlock()
--- a/internal/crash/store.go
+++ b/internal/crash/store.go
@@ -121,13 +121,14 @@
 
 // logNew logs requests that are newly quarantined.
 func (s *Store) logNew(quarantined map[quarantine.Digest]quarantine.Decision, now time.Time) {
-	for d, v := range quarantined {
-		if !s.detector.table.MarkAnnounced(d, v) {
+	for d, decision := range quarantined {
+		if !s.detector.table.MarkAnnounced(d, decision) {
 			continue
 		}
 		metrics.GetOrCreateCounter(`crowbridge_requests_quarantined_total`).Inc()
 		s.log.WithFields(logrus.Fields{
-			"digest": d, "customer": v.Info.Customer, "path": v.Info.Path, "servers": v.Servers, "found_here": v.LocalExits, "for_s": int(v.Until.Sub(now).Seconds()),
+			"digest": d, "customer": decision.Info.Customer, "path": decision.Info.Path, "servers": decision.Servers,
+			"found_here": decision.LocalExits, "for_s": int(decision.Until.Sub(now).Seconds()),
 		}).Warn("request quarantined: servers crash while running it")
 	}
 }
@@ -135,24 +136,24 @@
 // pendingChanges returns the changes that bring the configuration in line with the evidence.
 // local reports whether this daemon observed any of the exits.
 func (s *Store) pendingChanges(view *config.View, quarantined map[quarantine.Digest]quarantine.Decision, now time.Time) (changes []config.Change, local bool) {
-	for d, v := range quarantined {
+	for d, decision := range quarantined {
 		object := view.Get(config.KindQuarantine, d.String())
-		until := s.wallClock().Add(v.Until.Sub(now))
+		until := s.wallClock().Add(decision.Until.Sub(now))
 		if object != nil && object.Quarantine.Until().Add(endTolerance).After(until) {
 			continue
 		}
 		change := config.Change{Kind: config.KindQuarantine, Name: d.String(), Object: &config.Object{
 			Kind: config.KindQuarantine, Name: d.String(),
 			Quarantine: &config.Quarantine{
-				Customer: v.Info.Customer, Path: v.Info.Path, Servers: v.Servers,
-				SinceMs: s.wallClock().Add(v.Since.Sub(now)).UnixMilli(), UntilMs: until.UnixMilli(),
+				Customer: decision.Info.Customer, Path: decision.Info.Path, Servers: decision.Servers,
+				SinceMs: s.wallClock().Add(decision.Since.Sub(now)).UnixMilli(), UntilMs: until.UnixMilli(),
 			},
 		}}
 		if object != nil {
 			change.ExpectedRevision = object.Revision
 		}
 		changes = append(changes, change)
-		local = local || v.LocalExits > 0
+		local = local || decision.LocalExits > 0
 	}
 	for d := range s.active {
 		object := view.Get(config.KindQuarantine, d.String())
--- a/internal/eligibility/eligibility.go
+++ b/internal/eligibility/eligibility.go
@@ -93,7 +93,7 @@
 	return max(r.restUntil.Sub(now), 0)
 }
 
-// MarkLeaving records that the server is leaving. It reports whether this is a change.
+// MarkLeaving records that the server is leaving. It reports whether this was unknown before.
 func (r *Report) MarkLeaving(now time.Time) bool {
 	changed := !r.leaving
 	r.leaving, r.reportedAt = true, now
--- a/internal/eligibility/eligibility_test.go
+++ b/internal/eligibility/eligibility_test.go
@@ -69,7 +69,7 @@
 	Expect(r.RecordRest(1<<63-1, now.Add(MaxRest))).To(Equal(MaxRest))
 }
 
-func TestEarliestEnd(t *testing.T) {
+func TestEarliestEndIsWhenFirstServerBecomesEligible(t *testing.T) {
 	RegisterTestingT(t)
 	rest := func(s int) *Exclusion { return &Exclusion{Reason: Resting, Remaining: time.Duration(s) * time.Second} }
 	for _, c := range []struct {
--- a/internal/quarantine/decision.go
+++ b/internal/quarantine/decision.go
@@ -6,15 +6,12 @@
 )
 
 const (
-	// exitsToQuarantine is the number of server exits that quarantine a request: the fewest
-	// that distinguish it from the dozen unrelated requests on one server, which share only
-	// one of its exits. If a retry of an unrelated request runs beside the culprit's retry, it
-	// shares both exits; then neither is quarantined until the other completes or a third
-	// server exits.
+	// exitsToQuarantine is the number of server exits that quarantine a request. Unrelated
+	// requests at the same servers usually share only one of them. Of two requests that share
+	// both, neither is quarantined until the other completes or a third server exits.
 	exitsToQuarantine = 2
 	// SettleTime is how long a decision waits after a second exit for evidence of peers that
-	// other requests share it. Datagrams take a few milliseconds; detection times differ by up
-	// to 100 ms between entries.
+	// other requests share it. Detection times differ by up to 100 ms between entries.
 	SettleTime = 250 * time.Millisecond
 	// firstQuarantine is the length of a quarantine that may be a coincidence; one more
 	// attempt is permitted after it. longQuarantine follows a further exit, which limits the
@@ -22,9 +19,8 @@
 	firstQuarantine = 30 * time.Minute
 	longQuarantine  = 24 * time.Hour
 	// correlationWindow is the window within which two exits may have a common cause other
-	// than the request, such as a rack failure that hits two servers at which the request is
-	// in progress. Such a request is quarantined for correlatedQuarantine only, longer than a
-	// typical burst of retries; a third exit confirms it.
+	// than the request, such as a rack failure. Such a request is quarantined for
+	// correlatedQuarantine only, longer than a typical burst of retries.
 	correlationWindow    = time.Second
 	correlatedQuarantine = 30 * time.Second
 	// lossPendingTime is how long a lost connection counts against its request while it is
@@ -40,8 +36,9 @@
 	Healthy State = iota
 	// Suspect requests were in progress at a server that exited. They run one at a time.
 	Suspect
-	// Pending requests wait, because it is unknown whether a second server exited, or because
-	// another attempt of a suspect request is in progress.
+	// Pending requests wait, because it is unknown whether a second server exited or whether
+	// other requests share its exits, or because another attempt of a suspect request is in
+	// progress.
 	Pending
 	// Quarantined requests are not sent to any server.
 	Quarantined
@@ -67,23 +64,23 @@
 }
 
 func (t *Table) decide(d Digest, r *request, now time.Time) Decision {
-	v := Decision{Info: r.info, Servers: r.exitedServers()}
-	for _, server := range v.Servers {
+	decision := Decision{Info: r.info, Servers: r.exitedServers()}
+	for _, server := range decision.Servers {
 		e := r.exits[server]
 		if e.local {
-			v.LocalExits++
+			decision.LocalExits++
 		}
-		if v.Since.IsZero() || e.at.Before(v.Since) {
-			v.Since = e.at
+		if decision.Since.IsZero() || e.at.Before(decision.Since) {
+			decision.Since = e.at
 		}
 	}
-	v.Until = r.quarantineEnd(t.countedExits(r, v.Servers))
+	decision.Until = r.quarantineEnd(t.countedExits(r, decision.Servers))
 	if now.Before(r.configuredUntil) {
-		v.State, v.Until = Quarantined, later(v.Until, r.configuredUntil)
-		return v
+		decision.State, decision.Until = Quarantined, later(decision.Until, r.configuredUntil)
+		return decision
 	}
-	v.State = t.stateByEvidence(d, r, v.Servers, now)
-	return v
+	decision.State = t.stateByEvidence(d, r, decision.Servers, now)
+	return decision
 }
 
 func later(a, b time.Time) time.Time {
@@ -97,8 +94,8 @@
 func (t *Table) stateByEvidence(d Digest, r *request, servers []string, now time.Time) State {
 	counted := t.countedExits(r, servers)
 	pending := 0
-	for _, c := range r.losses {
-		if !c.alive && now.Sub(c.at) < lossPendingTime {
+	for _, loss := range r.losses {
+		if !loss.alive && now.Sub(loss.at) < lossPendingTime {
 			pending++
 		}
 	}
@@ -142,12 +139,11 @@
 	return counted
 }
 
-// exitElsewhere reports whether a server exited around a time without an exit of the request
-// there.
+// exitElsewhere reports whether a server at which the request has no exit exited around a time.
 func (t *Table) exitElsewhere(r *request, at time.Time) bool {
 	for _, other := range t.requests {
 		for server, e := range other.exits {
-			if _, local := r.exits[server]; !local && e.at.Sub(at).Abs() <= correlationWindow {
+			if _, own := r.exits[server]; !own && e.at.Sub(at).Abs() <= correlationWindow {
 				return true
 			}
 		}
--- a/internal/quarantine/digest_test.go
+++ b/internal/quarantine/digest_test.go
@@ -33,7 +33,7 @@
 		Entry("the boundary between two fields", of("florist", "POST", "h.example/a", "/x?p=1", "body")),
 	)
 
-	It("is parsed from its text", func() {
+	It("is logged as hexadecimal text, and parsed from it", func() {
 		Expect(quarantine.ParseDigest(first.String())).To(Equal(first))
 		inLog, err := json.Marshal(map[string]any{"digest": first})
 		Expect(err).NotTo(HaveOccurred())
--- a/internal/quarantine/eviction.go
+++ b/internal/quarantine/eviction.go
@@ -23,7 +23,7 @@
 	}
 	t.expiredAt = now
 	for d, r := range t.requests {
-		maps.DeleteFunc(r.losses, func(_ string, c connectionLoss) bool { return now.Sub(c.at) > lossRetention })
+		maps.DeleteFunc(r.losses, func(_ string, loss connectionLoss) bool { return now.Sub(loss.at) > lossRetention })
 		retention := suspectRetention
 		if len(r.exitedServers()) >= exitsToQuarantine {
 			retention = longQuarantine
@@ -66,16 +66,16 @@
 	if len(candidates) <= maxRequests {
 		return
 	}
-	for i, a := range candidates {
-		candidates[i].overShare = customers[a.customer] > maxRequests/len(customers)
+	for i, candidate := range candidates {
+		candidates[i].overShare = customers[candidate.customer] > maxRequests/len(customers)
 	}
 	slices.SortFunc(candidates, evictionCandidate.compare)
-	for _, a := range candidates[:len(candidates)-maxRequests+maxRequests/evictionDivisor] {
-		r := t.requests[a.digest]
+	for _, candidate := range candidates[:len(candidates)-maxRequests+maxRequests/evictionDivisor] {
+		r := t.requests[candidate.digest]
 		for server := range r.exits {
-			t.removeExit(a.digest, r, server)
+			t.removeExit(candidate.digest, r, server)
 		}
-		t.dropIfEmpty(a.digest, r)
+		t.dropIfEmpty(candidate.digest, r)
 	}
 }
 
--- a/internal/quarantine/table.go
+++ b/internal/quarantine/table.go
@@ -31,11 +31,11 @@
 // request is the state of one request.
 type request struct {
 	info RequestInfo
-	// inProgress counts the callers' attempts that run or wait at this daemon.
+	// inProgress counts the attempts at this daemon that Admit permitted.
 	inProgress int
-	// losses are lost connections, by server.
-	losses map[string]connectionLoss // nil while there are none
-	exits  map[string]exit           // nil while there are none
+	// losses are lost connections, exits the servers' exits, by server; nil until the first.
+	losses map[string]connectionLoss
+	exits  map[string]exit
 	// configuredUntil is the end of the quarantine in the configuration.
 	configuredUntil time.Time
 	// announcedExits is the number of exits at the last MarkAnnounced.
@@ -71,8 +71,8 @@
 	return r
 }
 
-// Empty reports whether no request has any evidence. All requests are healthy then, and need
-// no digest.
+// Empty reports whether the table holds no requests. All requests are healthy then, and need no
+// digest.
 func (t *Table) Empty() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -86,15 +86,15 @@
 	defer t.mu.Unlock()
 	t.expire(now)
 	r := t.request(d)
-	v := t.decide(d, r, now)
-	if v.State == Suspect && r.inProgress > 0 {
-		v.State = Pending
+	decision := t.decide(d, r, now)
+	if decision.State == Suspect && r.inProgress > 0 {
+		decision.State = Pending
 	}
-	if v.State == Healthy || v.State == Suspect {
+	if decision.State == Healthy || decision.State == Suspect {
 		r.inProgress++
 	}
 	t.dropIfEmpty(d, r)
-	return v
+	return decision
 }
 
 // Done ends an attempt that Admit permitted.
@@ -124,8 +124,9 @@
 	return t.decide(d, r, now)
 }
 
-// RecordConnectionLoss records that the connection to a server failed during an attempt. It reports
-// whether no other loss at the server is unresolved: the caller then has to probe the server.
+// RecordConnectionLoss records that the connection to a server was lost during an attempt. It
+// reports whether no other loss at the server is unresolved: the caller then has to probe the
+// server.
 func (t *Table) RecordConnectionLoss(d Digest, info RequestInfo, server string, now time.Time) (first bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -161,9 +162,9 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, r := range t.requests {
-		if c, found := r.losses[server]; found && !c.at.After(upTo) {
-			c.alive = true
-			r.losses[server] = c
+		if loss, found := r.losses[server]; found && !loss.at.After(upTo) {
+			loss.alive = true
+			r.losses[server] = loss
 		}
 	}
 }
@@ -175,21 +176,21 @@
 	defer t.mu.Unlock()
 	var changed []Evidence
 	for d, r := range t.requests {
-		c, found := r.losses[server]
+		loss, found := r.losses[server]
 		if !found {
 			continue
 		}
 		delete(r.losses, server)
-		if now.Sub(c.at) > lossRetention {
+		if now.Sub(loss.at) > lossRetention {
 			t.dropIfEmpty(d, r)
 			continue
 		}
-		name, known := r.exitName(server, c.at)
+		name, known := r.exitName(server, loss.at)
 		if known {
 			continue
 		}
-		t.setExit(r, d, name, exit{at: c.at, learnedAt: now, local: true})
-		changed = append(changed, Evidence{Digest: d, Info: r.info, Server: name, ExitedAt: c.at})
+		t.setExit(r, d, name, exit{at: loss.at, learnedAt: now, local: true})
+		changed = append(changed, Evidence{Digest: d, Info: r.info, Server: name, ExitedAt: loss.at})
 	}
 	t.evictExcess()
 	return changed
@@ -336,22 +337,23 @@
 		if len(r.exitedServers()) < exitsToQuarantine {
 			continue
 		}
-		if v := t.decide(d, r, now); v.State == Quarantined {
-			found[d] = v
+		if decision := t.decide(d, r, now); decision.State == Quarantined {
+			found[d] = decision
 		}
 	}
 	return found
 }
 
-// MarkAnnounced reports whether a quarantined request has more exits than at the last call.
-func (t *Table) MarkAnnounced(d Digest, v Decision) bool {
+// MarkAnnounced records the number of a quarantined request's exits. It reports whether there
+// are more than at the last call.
+func (t *Table) MarkAnnounced(d Digest, decision Decision) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	r := t.request(d)
-	if len(v.Servers) <= r.announcedExits {
+	if len(decision.Servers) <= r.announcedExits {
 		return false
 	}
-	r.announcedExits = len(v.Servers)
+	r.announcedExits = len(decision.Servers)
 	return true
 }
 
--- a/internal/quarantine/table_test.go
+++ b/internal/quarantine/table_test.go
@@ -119,7 +119,7 @@
 		Expect(state(start.Add(5 * time.Second))).To(Equal(quarantine.Quarantined))
 	})
 
-	It("is not blamed for an exit long after it lost its connection", func() {
+	It("gets no evidence from an exit long after it lost its connection", func() {
 		table.RecordConnectionLoss(d, info, "a", start)
 		Expect(table.MarkExited("a", start.Add(time.Minute))).To(BeEmpty())
 	})
@@ -134,7 +134,7 @@
 		Expect(table.Decision(d, later).Until.Sub(later)).To(Equal(24 * time.Hour))
 	})
 
-	It("is not blamed for a failure that took other servers as well", func() {
+	It("is only suspect when a server without it exited at the same time", func() {
 		for i, server := range []string{"a", "b", "c"} {
 			exitUnderRequest(table, d, server, start.Add(time.Duration(i)*10*time.Millisecond))
 		}
--- a/internal/quota/quota.go
+++ b/internal/quota/quota.go
@@ -17,9 +17,10 @@
 	usableFraction = 0.9
 )
 
-// PerDaemon returns one daemon's quota of a bound, given the number of known daemons.
-func PerDaemon(bound float64, peers int) float64 {
-	return bound / (float64(max(peers, 1)) * (1 + headroom))
+// PerDaemon returns one daemon's quota of a bound, given the number of known daemons including
+// itself.
+func PerDaemon(bound float64, daemons int) float64 {
+	return bound / (float64(max(daemons, 1)) * (1 + headroom))
 }
 
 // Daemons is the set of daemons that share a bound. The zero value is a single daemon.
@@ -40,9 +41,9 @@
 	return d.self == other.self && slices.Equal(d.addresses, other.addresses)
 }
 
-// Quota returns this daemon's integer quota of a bound on the named resource. When the bound
-// is smaller than the number of daemons, the daemons that rank first by a hash of both names
-// get 1 each; all daemons that know the same set agree on them.
+// Quota returns this daemon's integer quota of a bound on the named resource. When it would be
+// less than 1, the daemons with the lowest hashes of both names get 1 each; all daemons that
+// know the same set agree on them.
 func (d Daemons) Quota(bound int, name string) int {
 	usable := usableFraction * float64(bound)
 	if quota := int(PerDaemon(usable, len(d.addresses))); quota > 0 {
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -16,7 +16,7 @@
 }
 
 // The quotas of all daemons must not exceed the bound, even if each daemon knows only four
-// fifths of the others.
+// fifths of the others, and must add up to a quarter of it at least if each knows all.
 func TestQuotasNeverExceedBound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var all []string
--- a/internal/ratelimit/backlog.go
+++ b/internal/ratelimit/backlog.go
@@ -8,7 +8,7 @@
 // maxRetryAfter bounds the Retry-After that callers receive.
 const maxRetryAfter = 30 * time.Second
 
-// currentBacklog returns the estimated number of callers that have yet to return.
+// currentBacklog returns the estimated number of refused callers that have yet to retry.
 func (s *server) currentBacklog(rate float64, now time.Time) float64 {
 	if elapsed := now.Sub(s.backlogAt).Seconds(); elapsed > 0 {
 		s.backlog = max(s.backlog-rate*elapsed, 0)
@@ -18,9 +18,9 @@
 }
 
 // RecordRefusal records that a caller is refused because none of the servers may receive its
-// request. It returns when the caller should retry: when the first server becomes available,
-// after the callers that were refused earlier. It returns 0 when none of the servers has a
-// limit.
+// request. It returns the caller's retry delay, at most maxRetryAfter: the time until the first
+// server becomes available and has served the callers that were refused earlier. It returns 0
+// when none of the servers has a limit.
 func (t *Table) RecordRefusal(keys []string, r TokenRequest, now time.Time) time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/ratelimit/bucket.go
+++ b/internal/ratelimit/bucket.go
@@ -28,7 +28,7 @@
 	// convergenceFactor is the fraction of the gap to a peer's bucket that is closed per
 	// message.
 	convergenceFactor = 0.1
-	// maxGap is the largest plausible gap between two buckets.
+	// maxGap is the gap between two buckets, in tokens, from which a peer's count is ignored.
 	maxGap = 1e6
 )
 
@@ -58,8 +58,8 @@
 	return time.Duration(math.Ceil((tokens - b.tokens) / rate * float64(time.Second)))
 }
 
-// clampAfterDecrease limits tokens and debt after the rate decreased: both would otherwise
-// last much longer than intended. One token is one request at any rate.
+// clampAfterDecrease drops the debt, and all tokens but one, after the rate decreased: both
+// would last much longer than intended at the lower rate.
 func (b *bucket) clampAfterDecrease() { b.tokens = min(max(b.tokens, 0), 1) }
 
 // convergeTo moves the bucket towards a peer's bucket for the same server. Buckets drift apart
--- a/internal/ratelimit/fairness.go
+++ b/internal/ratelimit/fairness.go
@@ -22,7 +22,8 @@
 	maxCustomers = 10_000
 )
 
-// customerUsages tracks which customers received a server's recent requests, at any daemon.
+// customerUsages estimates how many of a server's recent requests, at all daemons, were each
+// customer's.
 type customerUsages struct {
 	customers map[uint64]*customerUsage
 	// active is the number of customers with recent requests, total their usage, as of
@@ -67,8 +68,8 @@
 	return t.requests * math.Exp2(-now.Sub(t.updatedAt).Seconds()/halfLife(rate).Seconds())
 }
 
-// aboveAverage reports whether the requesting customer has received more than the other active
-// customers.
+// aboveAverage reports whether a customer's usage exceeds the average of the other active
+// customers by more than aboveAverageThreshold. It records that the customer is active.
 func (t *customerUsages) aboveAverage(customer uint64, rate float64, now time.Time) bool {
 	own := t.get(customer)
 	own.requestedAt = now
@@ -94,7 +95,7 @@
 	}
 }
 
-// prune removes customers whose usage has decayed.
+// prune removes customers whose usage has decayed, and arbitrary ones beyond maxCustomers.
 func (t *customerUsages) prune(rate float64, now time.Time) {
 	for id, usage := range t.customers {
 		if now.Sub(latest(usage.updatedAt, usage.requestedAt)) > 4*halfLife(rate) || len(t.customers) > maxCustomers {
--- a/internal/ratelimit/messages.go
+++ b/internal/ratelimit/messages.go
@@ -31,7 +31,8 @@
 	return t.peers.refreshInterval()
 }
 
-// Updates returns messages about the limits that changed since the last call.
+// Updates returns messages about the servers whose limit or number of requests changed since the
+// last call.
 func (t *Table) Updates(now time.Time) []*peerrpc.LimitNews {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/ratelimit/peers.go
+++ b/internal/ratelimit/peers.go
@@ -71,8 +71,9 @@
 // timeout returns the time without a message after which a peer is unresponsive.
 func (p *peers) timeout() time.Duration { return maxMissedRefreshes*p.refreshInterval() + refreshSlack }
 
-// PartitionExcess returns how long a network partition remains undetected, and the maximum
-// number of extra requests that a server with the limit receives in that time.
+// PartitionExcess returns how long a network partition remains undetected, at the shortest
+// refresh interval, and the maximum number of extra requests that a server with the limit, in
+// requests per second, receives in that time.
 func PartitionExcess(limit float64) (undetected time.Duration, extra float64) {
 	undetected = maxMissedRefreshes*minRefreshInterval + refreshSlack
 	return undetected, limit*(undetected+burstTime).Seconds() + minBurst + maxJitterRange/2
--- a/internal/ratelimit/reported.go
+++ b/internal/ratelimit/reported.go
@@ -23,7 +23,7 @@
 	return l.Present == other.Present && (!l.Present || l.PerSecond == other.PerSecond)
 }
 
-// supersede returns the limit in force after l was received while before was in force.
+// supersede returns the limit in force after l was received while previous was in force.
 // Responses may overtake each other: l is certainly newer only if its request was sent after
 // the previous response arrived.
 func (l Limit) supersede(previous Limit) Limit {
--- a/internal/ratelimit/reported_test.go
+++ b/internal/ratelimit/reported_test.go
@@ -15,8 +15,9 @@
 	}
 }
 
-// A limit must never be replaced by a higher one that may be older.
-func TestLimitNeverYieldsToOlderHigherLimit(t *testing.T) {
+// A limit must never be removed by a response that may be older, and must be replaced by one that
+// is certainly newer.
+func TestLimitIsNotRemovedByOlderResponse(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		type response struct {
 			reported time.Time
--- a/internal/ratelimit/table.go
+++ b/internal/ratelimit/table.go
@@ -10,17 +10,15 @@
 )
 
 const (
-	// jitterPerDaemon is the random wait, in tokens, that each daemon adds to the range,
-	// within minJitterRange and maxJitterRange. With eight daemons, two waits differ by about
-	// a thirtieth of the request interval.
+	// jitterPerDaemon is how much each daemon extends the range of random waits, in tokens,
+	// within minJitterRange and maxJitterRange.
 	jitterPerDaemon = 0.04
 	minJitterRange  = 0.1
 	maxJitterRange  = 1.0
-	// The margins are extra tokens that the bucket must hold: aboveAverageMargin for a
-	// customer that received more than the other active ones, priorityMargin per rank of
-	// PriorityGap up to maxPriorityGap, and newRequestMargin for a first attempt while refused
-	// callers are due to return. Tokens that no other request takes remain available to these
-	// requests.
+	// The margins are extra tokens that the bucket must hold before a request may take one:
+	// aboveAverageMargin for a customer above the average of the others, priorityMargin per
+	// level of PriorityGap up to maxPriorityGap, and newRequestMargin for a first attempt while
+	// refused callers have yet to retry.
 	aboveAverageMargin = 1.0
 	priorityMargin     = 0.1
 	maxPriorityGap     = 3
@@ -33,7 +31,7 @@
 // TokenRequest describes a request that is to be sent to a server.
 type TokenRequest struct {
 	Customer string
-	// PriorityGap is the number of priority ranks below the most urgent one.
+	// PriorityGap is the number of priority levels below the most urgent one.
 	PriorityGap int
 	// Retry is set when the caller was refused before.
 	Retry bool
@@ -68,8 +66,10 @@
 	// jitter is the number of extra tokens that this daemon waits for now.
 	jitter float64
 	// local are this daemon's counts, peers those of other processes by ID.
-	local        counts
-	peers        map[uint64]peerCounts
+	local counts
+	peers map[uint64]peerCounts
+	// lastCustomer is the hash of the customer of this daemon's last request, or 0 if there was
+	// none since the last update.
 	lastCustomer uint64
 	// backlog estimates the refused callers, at any daemon, that have yet to return. It
 	// decreases at the server's rate.
@@ -215,8 +215,8 @@
 	return t.wait(s, r, now)
 }
 
-// UntilAvailable returns the time until the server accepts a request of any customer; 0 if it
-// does now or has no limit.
+// UntilAvailable returns the time until the server's limit permits a request without margins; 0
+// if it does now or there is no limit.
 func (t *Table) UntilAvailable(key string, now time.Time) time.Duration {
 	if !t.Any() {
 		return 0
--- a/internal/wait/wait.go
+++ b/internal/wait/wait.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// For waits for the duration and returns true, or returns false if ctx ends first.
+// For waits for a duration or until ctx ends. It reports whether the duration has passed.
 func For(ctx context.Context, d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
