--- a/internal/admission/limit.go
+++ b/internal/admission/limit.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// LimitOptions configures the adaptive concurrency limit.
+// LimitOptions bounds the adaptive concurrency limit.
 type LimitOptions struct {
 	Min, Max int
 }
@@ -10,8 +10,8 @@
 // Limit adapts the number of concurrent requests to the latency per unit of cost. It starts
 // low, to measure the latency without overload, and doubles per round of responses until the
 // first sign of overload; a round is as many responses as the limit. After that, a fully used
-// limit grows by one per round while latency stays near the best seen, and shrinks by a tenth,
-// at most once per round, on increased latency or on failures.
+// limit grows by one per round while latency stays near the best seen. It shrinks by a tenth
+// after a round if latency has increased or the last request of the round failed.
 //
 // The best latency decays only while it can be measured again: at the minimum limit, or with
 // less than half of the limit in use. If it decayed under load, the latency under overload
@@ -31,7 +31,7 @@
 	bestDrift       = 1.001 // growth of the best latency per response
 	overloadFactor  = 1.12  // ratio to the best latency that counts as overload
 	shrinkFactor    = 0.9
-	growthResponses = 1 // rounds of responses per growth by one
+	growthResponses = 1 // rounds of responses between two changes
 	fullUsePercent  = 80
 	startLimit      = 4
 )
@@ -58,7 +58,7 @@
 	return time.Duration(l.recentPerCost * cost * float64(time.Second))
 }
 
-// Latency returns the smoothed duration of a request.
+// Latency returns the smoothed duration of a request; 0 if none has ended yet.
 func (l *Limit) Latency() time.Duration { return time.Duration(l.latency * float64(time.Second)) }
 
 // Observe updates the limit from a finished request: its duration and cost, the number of
--- a/internal/admission/queue.go
+++ b/internal/admission/queue.go
@@ -14,12 +14,12 @@
 // running, or in neither state once it ended; a request that Withdraw reported as not started
 // is never returned by Dispatch. It is not safe for concurrent use.
 type Queue struct {
-	options Options
-	limit   *Limit
-	classes [rankCount]*classQueue
-	byID    map[string]*waiting
-	run     map[string]*running
-	perRank [rankCount]int // running requests by class
+	options           Options
+	limit             *Limit
+	classes           [priorityCount]*classQueue
+	byID              map[string]*waiting
+	run               map[string]*running
+	runningByPriority [priorityCount]int // running requests by class
 
 	givenUp       []Request // given up since the last TakeRefusals
 	patientCredit float64
@@ -58,7 +58,7 @@
 		return failure.NotRun(failure.StepQueue, "", failure.CodeOverloaded,
 			"expected wait exceeds the deadline").WithRetryAfter(max(needed-left, minRetryAfter))
 	}
-	class := q.classes[rankOf(request.Class)]
+	class := q.classes[priorityOf(request.Class)]
 	if len(q.byID) >= q.options.MaxQueued && !q.evictFor(request) {
 		return failure.NotRun(failure.StepQueue, "", failure.CodeOverloaded, "queue is full").WithRetryAfter(max(wait, minRetryAfter))
 	}
@@ -83,21 +83,21 @@
 // EstimateWait returns the expected queueing time of the request, from the cost queued ahead
 // of it and the recent throughput.
 func (q *Queue) EstimateWait(request Request) time.Duration {
-	own := rankOf(request.Class)
+	own := priorityOf(request.Class)
 	if q.slotRate <= 0 || (len(q.byID) == 0 && len(q.run) < q.slots(own)) {
 		return 0
 	}
 	ahead := q.classes[own].costAhead(request)
-	for r := rankUrgent; r < own; r++ {
-		ahead += q.classes[r].cost
+	for p := priorityUrgent; p < own; p++ {
+		ahead += q.classes[p].cost
 	}
 	return time.Duration(ahead / (q.slotRate * float64(q.slots(own))) * float64(time.Second))
 }
 
 // slots returns how many requests of a class and less urgent ones may run at once.
-func (q *Queue) slots(r rank) int {
+func (q *Queue) slots(p priority) int {
 	limit := q.limit.Current()
-	if r == rankUrgent || limit < 2 {
+	if p == priorityUrgent || limit < 2 {
 		return limit
 	}
 	return limit - max(1, limit/reserveDivisor)
@@ -125,17 +125,17 @@
 // selectNext returns the next request: a patient one if the guaranteed share is due, else one
 // of the most urgent class that waits and has a slot.
 func (q *Queue) selectNext(now time.Time) *waiting {
-	patient := q.classes[rankPatient].peek(now)
-	urgentWaits := q.classes[rankUrgent].peek(now) != nil || q.classes[rankNormal].peek(now) != nil
+	patient := q.classes[priorityPatient].peek(now)
+	urgentWaits := q.classes[priorityUrgent].peek(now) != nil || q.classes[priorityNormal].peek(now) != nil
 	if patient != nil && urgentWaits && q.patientCredit >= patient.request.Cost {
 		return patient
 	}
-	for r := rankUrgent; r < rankPatient; r++ {
-		if item := q.classes[r].peek(now); item != nil && q.hasSlot(r) {
+	for p := priorityUrgent; p < priorityPatient; p++ {
+		if item := q.classes[p].peek(now); item != nil && q.hasSlot(p) {
 			return item
 		}
 	}
-	if patient != nil && q.hasSlot(rankPatient) {
+	if patient != nil && q.hasSlot(priorityPatient) {
 		return patient
 	}
 	return nil
@@ -145,31 +145,31 @@
 // at least one. Urgent requests then start without waiting for a long patient one.
 const reserveDivisor = 4
 
-func (q *Queue) hasSlot(r rank) bool {
-	if r == rankUrgent {
+func (q *Queue) hasSlot(p priority) bool {
+	if p == priorityUrgent {
 		return true
 	}
-	return q.perRank[rankPatient]+q.perRank[rankNormal] < q.slots(r)
+	return q.runningByPriority[priorityPatient]+q.runningByPriority[priorityNormal] < q.slots(p)
 }
 
 func (q *Queue) dispatch(now time.Time, item *waiting) {
-	r := rankOf(item.request.Class)
-	flow := q.classes[r].pop(item)
+	p := priorityOf(item.request.Class)
+	flow := q.classes[p].pop(item)
 	delete(q.byID, item.request.ID)
 	q.run[item.request.ID] = &running{request: item.request, started: now, flow: flow}
-	q.perRank[r]++
-	q.updatePatientCredit(r, item.request.Cost)
+	q.runningByPriority[p]++
+	q.updatePatientCredit(p, item.request.Cost)
 }
 
-// updatePatientCredit adjusts the credit of patient requests, which grows by their percentage
-// of the cost dispatched in other classes while any of them waits, and shrinks by the cost
-// dispatched.
-func (q *Queue) updatePatientCredit(r rank, cost float64) {
-	if r == rankPatient {
+// updatePatientCredit adjusts the credit of patient requests after a dispatch. While any of them
+// waits, it grows with the cost of other classes, so that they get PatientPercent of the total;
+// it shrinks by their own cost.
+func (q *Queue) updatePatientCredit(p priority, cost float64) {
+	if p == priorityPatient {
 		q.patientCredit = max(0, q.patientCredit-cost)
 		return
 	}
-	if q.classes[rankPatient].len() == 0 {
+	if q.classes[priorityPatient].len() == 0 {
 		q.patientCredit = 0
 		return
 	}
@@ -185,12 +185,12 @@
 		return
 	}
 	delete(q.run, id)
-	r := rankOf(item.request.Class)
-	q.perRank[r]--
+	p := priorityOf(item.request.Class)
+	q.runningByPriority[p]--
 	if actualCost <= 0 {
 		actualCost = item.request.Cost
 	}
-	q.classes[r].adjustCost(item.flow, actualCost-item.request.Cost)
+	q.classes[p].adjustCost(item.flow, actualCost-item.request.Cost)
 	q.limit.Observe(now.Sub(item.started), actualCost, len(q.run)+1, len(q.byID) > 0, ok)
 	q.updateRate(now, item, actualCost)
 }
@@ -211,8 +211,8 @@
 	q.slotRate += rateWeight * (rate - q.slotRate)
 }
 
-// Withdraw removes a waiting request. It returns true if the request had not started and never
-// will, and false if it is not waiting.
+// Withdraw removes a waiting request. It reports whether the request was waiting, and so never
+// starts.
 func (q *Queue) Withdraw(id string) bool {
 	item := q.byID[id]
 	if item == nil {
@@ -224,7 +224,7 @@
 
 func (q *Queue) remove(item *waiting) {
 	delete(q.byID, item.request.ID)
-	q.classes[rankOf(item.request.Class)].remove(item)
+	q.classes[priorityOf(item.request.Class)].remove(item)
 }
 
 // NextDeadline returns the earliest deadline of the waiting requests.
--- a/internal/admission/queue_property_test.go
+++ b/internal/admission/queue_property_test.go
@@ -40,7 +40,7 @@
 	var ids []string
 	for i := range m.next {
 		id := fmt.Sprint(i)
-		if f, ok := m.states[id]; ok && f == want {
+		if state, ok := m.states[id]; ok && state == want {
 			ids = append(ids, id)
 		}
 	}
@@ -105,7 +105,7 @@
 	id := fmt.Sprint(rapid.IntRange(0, m.next-1).Draw(t, "id"))
 	if m.queue.Withdraw(id) {
 		m.transition(t, id, stateQueued, stateNotRun)
-	} else if f, ok := m.states[id]; ok && f == stateQueued {
+	} else if state, ok := m.states[id]; ok && state == stateQueued {
 		t.Fatalf("%s is queued, but was not withdrawn", id)
 	}
 	m.dispatchAndCheck(t)
--- a/internal/admission/queue_test.go
+++ b/internal/admission/queue_test.go
@@ -232,7 +232,7 @@
 		Expect(l.Current()).To(Equal(3))
 	})
 
-	It("settles near the knee of a server that slows down beyond it", func() {
+	It("settles near the concurrency beyond which the server slows down", func() {
 		const knee = 12
 		l := NewLimit(LimitOptions{Min: 1, Max: 100})
 		for range 5000 {
--- a/internal/admission/refusal.go
+++ b/internal/admission/refusal.go
@@ -13,13 +13,13 @@
 // the customer with the largest waiting cost per weight in the same or a less urgent class.
 // TakeRefusals returns it.
 func (q *Queue) evictFor(request Request) bool {
-	for r := rankPatient; r >= rankOf(request.Class); r-- {
-		longest := q.classes[r].longest()
+	for p := priorityPatient; p >= priorityOf(request.Class); p-- {
+		longest := q.classes[p].longest()
 		if longest == nil {
 			continue
 		}
-		sameClass := r == rankOf(request.Class)
-		own := q.classes[r].backlog(request.Customer) + request.Cost/float64(request.Weight)
+		sameClass := p == priorityOf(request.Class)
+		own := q.classes[p].backlog(request.Customer) + request.Cost/float64(request.Weight)
 		if sameClass && longest.backlog() <= own {
 			continue
 		}
@@ -27,7 +27,7 @@
 		if evicted == nil {
 			continue
 		}
-		q.classes[r].evicted = append(q.classes[r].evicted, evicted.request)
+		q.classes[p].evicted = append(q.classes[p].evicted, evicted.request)
 		q.remove(evicted)
 		return true
 	}
--- a/internal/admission/request.go
+++ b/internal/admission/request.go
@@ -30,26 +30,26 @@
 	PatientPercent int
 }
 
-// rank orders classes; lower is more urgent.
-type rank int
+// priority orders classes; lower is more urgent.
+type priority int
 
 const (
-	rankUrgent rank = iota
-	rankNormal
-	rankPatient
-	rankCount
+	priorityUrgent priority = iota
+	priorityNormal
+	priorityPatient
+	priorityCount
 )
 
-func rankOf(class config.Class) rank {
+func priorityOf(class config.Class) priority {
 	switch class {
 	case config.ClassUrgent:
-		return rankUrgent
+		return priorityUrgent
 	case config.ClassPatient:
-		return rankPatient
+		return priorityPatient
 	case config.ClassNormal:
-		return rankNormal
+		return priorityNormal
 	default:
-		return rankNormal
+		return priorityNormal
 	}
 }
 
--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -13,9 +13,9 @@
 
 const (
 	// checkInterval is the minimum time between reads of the boot-time clock, and thus the
-	// delay until a suspension is detected.
+	// longest time for which Now may miss a suspension.
 	checkInterval = 50 * time.Millisecond
-	// minSuspension is the tolerated drift between the clocks.
+	// minSuspension is the shortest suspension that is detected; less is drift of the clocks.
 	minSuspension = 20 * time.Millisecond
 )
 
@@ -93,7 +93,7 @@
 	c.checkedAt = now
 	boot, err := c.boot()
 	if err != nil {
-		return // readable at the start, so this is not expected
+		return
 	}
 	if gap := boot - c.startBoot - now.Sub(c.startSteady); gap >= c.suspended+minSuspension {
 		c.suspended = gap
--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -77,7 +77,7 @@
 	g.Expect(c.Now().Sub(start)).To(Equal(time.Minute))
 }
 
-func TestSystemClock(t *testing.T) {
+func TestSystemClockNeverDecreases(t *testing.T) {
 	c := New(logrus.NewEntry(logrus.New()))
 	if before := c.Now(); c.Now().Before(before) {
 		t.Error("time decreased")
--- a/internal/loadfeed/loadfeed.go
+++ b/internal/loadfeed/loadfeed.go
@@ -1,5 +1,5 @@
 // Package loadfeed sends the load of backend servers from their agents to the entries over
-// UDP. Lost datagrams are made up for by later reports.
+// UDP. A later report replaces a lost one.
 package loadfeed
 
 import (
@@ -48,8 +48,8 @@
 // Close closes the socket.
 func (s *Sender) Close() error { return s.conn.Close() }
 
-// Send sends a report to the entries if it has changed or the last one is older than the
-// refresh interval. It continues after an error and returns the first one.
+// Send sends a report to the entries if a significant field has changed or the last one is older
+// than the refresh interval. It continues after an error and returns the first one.
 func (s *Sender) Send(now time.Time, report experts.RankReport, entries []netip.Addr) error {
 	if significant(report) == significant(s.lastReport) && now.Sub(s.reportSentAt) < refreshInterval {
 		return nil
@@ -62,7 +62,8 @@
 	})
 }
 
-// SendExited reports to the entries that the server no longer listens at its address.
+// SendExited reports to the entries that the server no longer listens at its address, at most
+// once per refresh interval. It continues after an error and returns the first one.
 func (s *Sender) SendExited(now time.Time, entries []netip.Addr) error {
 	if now.Sub(s.exitSentAt) < refreshInterval {
 		return nil
@@ -128,8 +129,8 @@
 	return &Receiver{servers: servers, balancer: balancer, engines: engines, now: now, log: log, latest: map[string]reportSequence{}}
 }
 
-// isStale reports whether a newer report of the same sender process has been received, and
-// records the report otherwise.
+// isStale reports whether this report or a newer one of the same sender process has been
+// received, and records the report otherwise.
 func (r *Receiver) isStale(report *peerrpc.LoadReport) bool {
 	latest := r.latest[report.GetAddress()]
 	if latest.senderID == report.GetSender() && report.GetLook() <= latest.sequence {
--- a/internal/outcome/keys.go
+++ b/internal/outcome/keys.go
@@ -132,8 +132,8 @@
 // Has reports whether the table has an entry for a key.
 func (k *Keys) Has(key Key) bool { return k.entries[key] != nil }
 
-// MarkRecorded notes that this incarnation is recorded in the log, with the handover of the
-// previous one; nil if that did not end in a planned stop.
+// MarkRecorded records that this incarnation is recorded in the log. previous is the handover of
+// the previous one, or nil if that did not end in a planned stop; an old one is ignored.
 func (k *Keys) MarkRecorded(previous *Handover) {
 	k.recorded = true
 	if previous == nil {
@@ -250,10 +250,9 @@
 // mayHaveRun reports whether a key without an entry may have started before: in an earlier
 // incarnation, or in this one with its entry expired.
 //
-// An earlier incarnation accepted a key at time T <= Started, by two wall clocks that differ
-// by at most Skew, and its entry refused keys more than Skew ahead of its own clock. So the
-// timestamp of a key that it ran is at most Started + 2*Skew, plus one Skew for the clock of a
-// replaced VM.
+// The timestamp of a key that an earlier incarnation ran is at most skewFactor*Skew after
+// Started: entries refuse keys more than Skew ahead of their clock, and the clocks of the entry
+// and of the earlier and the current incarnation differ by at most Skew each.
 func (k *Keys) mayHaveRun(now time.Time, key Key) bool {
 	if !k.recorded && now.Sub(k.options.Started) < UnrecordedDelay {
 		return true
@@ -287,7 +286,7 @@
 	return !at.After(k.homesChangedAt.Add(skewFactor * k.options.Skew))
 }
 
-// mayHaveRunInPrevious reports whether the key may have run, by the previous handover.
+// mayHaveRunInPrevious reports whether, according to the previous handover, a key may have run.
 func (k *Keys) mayHaveRunInPrevious(at time.Time, timed bool, now time.Time, key Key) bool {
 	if k.previous.Seen[key.Hash()] {
 		return true
--- a/internal/outcome/ledger.go
+++ b/internal/outcome/ledger.go
@@ -42,7 +42,8 @@
 	return &Ticket{ledger: l}
 }
 
-// Close records the outcome and returns true. Further calls have no effect and return false.
+// Close records the outcome. It reports whether this was the first call; further calls have no
+// effect.
 func (t *Ticket) Close(outcome failure.Outcome) bool {
 	t.ledger.mu.Lock()
 	defer t.ledger.mu.Unlock()
--- a/internal/upstream/upstream_test.go
+++ b/internal/upstream/upstream_test.go
@@ -99,7 +99,7 @@
 		Expect(sendErr.Sent).To(BeTrue())
 	})
 
-	It("fails on an unresponsive connection within two seconds", func() {
+	It("uses socket options that close an unresponsive connection within two seconds", func() {
 		listener, err := net.Listen("tcp", "127.0.0.1:0")
 		Expect(err).NotTo(HaveOccurred())
 		DeferCleanup(listener.Close)
