--- a/standins/scenarios/group_commands_test.go
+++ b/standins/scenarios/group_commands_test.go
@@ -7,40 +7,40 @@
 	"github.com/rogpeppe/go-internal/testscript"
 )
 
-// cmdSteps waits until the group has made so many more passes and so many more
-// maps were used, and checks that all ranks used one map in each:
-// steps N [versions=N]
-func cmdSteps(ts *testscript.TestScript, _ bool, args []string) {
-	cluster := of(ts).cluster
+// cmdPasses waits until the group has made N more passes and used the given number of new maps. It
+// checks that all ranks used the same map in each pass:
+// passes N [maps=N]
+func cmdPasses(ts *testscript.TestScript, _ bool, args []string) {
+	cluster := deploymentOf(ts).cluster
 	more, err := strconv.ParseInt(args[0], 10, 64)
 	ts.Check(err)
-	versions := valueOr(settings(ts, args[1:]), "versions", 0)
-	first, err := cluster.GroupState()
+	maps := valueOr(parseValues(ts, args[1:]), "maps", 0)
+	before, err := cluster.GroupState()
 	ts.Check(err)
-	deadline := time.Now().Add(stepsTimeout)
+	deadline := time.Now().Add(passesTimeout)
 	for {
 		state, err := cluster.GroupState()
 		ts.Check(err)
 		if state.MixedPasses > 0 {
-			ts.Fatalf("a pass began with two maps: %+v", state)
+			ts.Fatalf("a pass used two expert maps: %+v", state)
 		}
-		if state.Passes >= first.Passes+more && len(state.Maps) >= len(first.Maps)+versions {
+		if state.Passes >= before.Passes+more && len(state.Maps) >= len(before.Maps)+maps {
 			state.PassIntervalsUs = nil
 			ts.Logf("group: %+v", state)
 			return
 		}
 		if time.Now().After(deadline) {
-			ts.Fatalf("the group doesn't get on: %+v, before %+v", state, first)
+			ts.Fatalf("the group makes too little progress: %+v, before %+v", state, before)
 		}
 		time.Sleep(50 * time.Millisecond)
 	}
 }
 
-// cmdHolder does something to the agent that holds the group's lease:
-// holder crash|pause|resume|start. Resume and start name the one that was
-// paused or crashed.
+// cmdHolder crashes or pauses the agent that holds the group's lease, or resumes or starts the one
+// that it paused or crashed last:
+// holder crash|pause|resume|start
 func cmdHolder(ts *testscript.TestScript, _ bool, args []string) {
-	r := of(ts)
+	r := deploymentOf(ts)
 	name := r.saved["holder"]
 	if args[0] == "crash" || args[0] == "pause" {
 		holder, err := r.cluster.LeaseHolder()
@@ -58,17 +58,19 @@
 	case "start":
 		cmdStart(ts, false, []string{name})
 	default:
-		ts.Fatalf("holder: unknown %s", args[0])
+		ts.Fatalf("holder: unknown action %s", args[0])
 	}
 }
 
-// cmdEngine takes a rank's engine down or starts it again: engine RANK down|up
+// cmdEngine takes a rank's engine down or brings it up:
+// engine RANK down|up
 func cmdEngine(ts *testscript.TestScript, _ bool, args []string) {
-	ts.Check(of(ts).cluster.InjectGroupFault("down/" + args[0] + "/" + strconv.FormatBool(args[1] == "down")))
+	ts.Check(deploymentOf(ts).cluster.InjectGroupFault("down/" + args[0] + "/" + strconv.FormatBool(args[1] == "down")))
 }
 
-// cmdOrders makes each N-th order to the group's engines go unanswered and be
-// carried out MS milliseconds later; 0 0 ends that: orders N MS
-func cmdOrders(ts *testscript.TestScript, _ bool, args []string) {
-	ts.Check(of(ts).cluster.InjectGroupFault("late/" + args[0] + "/" + args[1]))
+// cmdDelayCommands makes each N-th command to the group's engines get no response and be executed
+// MS milliseconds later; 0 0 ends that:
+// delay-commands N MS
+func cmdDelayCommands(ts *testscript.TestScript, _ bool, args []string) {
+	ts.Check(deploymentOf(ts).cluster.InjectGroupFault("late/" + args[0] + "/" + args[1]))
 }
--- a/standins/scenarios/operator_commands_test.go
+++ b/standins/scenarios/operator_commands_test.go
@@ -11,7 +11,8 @@
 	"github.com/rogpeppe/go-internal/testscript"
 )
 
-// cmdOperator runs the operators' command line: operator [as-reader|@entry] ARGS...
+// cmdOperator runs the operators' command line and writes its output to $WORK/out:
+// operator [as-reader|@ENTRY] ARGS...
 func cmdOperator(ts *testscript.TestScript, neg bool, args []string) {
 	out, err := runOperator(ts, args)
 	ts.Logf("%s", out)
@@ -21,7 +22,8 @@
 	}
 }
 
-// cmdDaemon runs crowbridged for its output: daemon ARGS...
+// cmdDaemon runs crowbridged and writes its output to $WORK/out:
+// daemon ARGS...
 func cmdDaemon(ts *testscript.TestScript, neg bool, args []string) {
 	bin, err := buildOnce()
 	ts.Check(err)
@@ -37,7 +39,7 @@
 }
 
 func runOperator(ts *testscript.TestScript, args []string) (string, error) {
-	cluster := of(ts).cluster
+	cluster := deploymentOf(ts).cluster
 	for i, arg := range args {
 		if strings.HasSuffix(arg, ".yaml") {
 			args[i] = ts.MkAbs(arg)
@@ -46,8 +48,8 @@
 	if args[0] == "as-reader" {
 		return cluster.RunReadOnlyCLI(args[1:]...)
 	}
-	name, at := strings.CutPrefix(args[0], "@")
-	if !at {
+	name, addressed := strings.CutPrefix(args[0], "@")
+	if !addressed {
 		return cluster.RunCLI(args...)
 	}
 	for _, e := range cluster.Entries {
@@ -55,15 +57,16 @@
 			return cluster.RunCLIAt(e.ControlAddress, args[1:]...)
 		}
 	}
-	return "", fmt.Errorf("no entry %s", name)
+	return "", fmt.Errorf("entry %q does not exist", name)
 }
 
-const eventualTimeout = 15 * time.Second
+const eventuallyTimeout = 15 * time.Second
 
-// cmdEventual repeats an operator's command until its output holds a text:
-// eventual TEXT [@entry] ARGS...
-func cmdEventual(ts *testscript.TestScript, neg bool, args []string) {
-	deadline := time.Now().Add(eventualTimeout)
+// cmdEventually repeats an operator's command until its output contains the text, or with ! until
+// it doesn't:
+// [!] eventually TEXT [@ENTRY] ARGS...
+func cmdEventually(ts *testscript.TestScript, neg bool, args []string) {
+	deadline := time.Now().Add(eventuallyTimeout)
 	for {
 		out, _ := runOperator(ts, args[1:])
 		if strings.Contains(out, args[0]) != neg {
@@ -76,10 +79,10 @@
 	}
 }
 
-// cmdConverge waits until all running entries have the same offset and hash.
+// cmdConverge waits until all running entries report the same offset and state hash.
 func cmdConverge(ts *testscript.TestScript, _ bool, _ []string) {
-	cluster := of(ts).cluster
-	deadline := time.Now().Add(eventualTimeout)
+	cluster := deploymentOf(ts).cluster
+	deadline := time.Now().Add(eventuallyTimeout)
 	for {
 		states := map[string]bool{}
 		for _, e := range cluster.Entries {
--- a/standins/scenarios/scenarios_test.go
+++ b/standins/scenarios/scenarios_test.go
@@ -1,5 +1,5 @@
-// Package scenarios runs scripted failures against real processes. The scripts
-// are in testdata; each is a testscript whose commands are below.
+// Package scenarios runs failure scenarios against real processes. Each script in testdata is a
+// testscript that uses the commands below.
 package scenarios
 
 import (
@@ -23,8 +23,8 @@
 	"github.com/rogpeppe/go-internal/testscript"
 )
 
-// running is one script's deployment.
-type running struct {
+// deployment holds the processes, load and saved names of one script.
+type deployment struct {
 	cluster *harness.Cluster
 	loads   chan loadResult
 	options loadgen.Options
@@ -36,7 +36,7 @@
 	err    error
 }
 
-type runningKey struct{}
+type deploymentKey struct{}
 
 var buildOnce = sync.OnceValues(func() (string, error) {
 	bin, err := os.MkdirTemp("", "crowbridge-bin-")
@@ -63,52 +63,53 @@
 	testscript.Run(t, testscript.Params{
 		Dir: "testdata",
 		Setup: func(env *testscript.Env) error {
-			env.Values[runningKey{}] = &running{saved: map[string]string{}}
+			env.Values[deploymentKey{}] = &deployment{saved: map[string]string{}}
 			return nil
 		},
 		Cmds: map[string]func(*testscript.TestScript, bool, []string){
-			"cluster":  cmdCluster,
-			"load":     cmdLoad,
-			"check":    cmdCheck,
-			"crash":    cmdCrash,
-			"retire":   cmdRetire,
-			"start":    cmdStart,
-			"pause":    cmdPause,
-			"resume":   cmdResume,
-			"log":      cmdLog,
-			"cut":      cmdCut,
-			"vm":       cmdVM,
-			"proxy":    cmdProxy,
-			"operator": cmdOperator,
-			"daemon":   cmdDaemon,
-			"eventual": cmdEventual,
-			"converge": cmdConverge,
-			"pass":     cmdPass,
-			"steps":    cmdSteps,
-			"ask":      cmdAsk,
-			"holder":   cmdHolder,
-			"engine":   cmdEngine,
-			"orders":   cmdOrders,
+			"cluster":        cmdCluster,
+			"load":           cmdLoad,
+			"check":          cmdCheck,
+			"crash":          cmdCrash,
+			"terminate":      cmdTerminate,
+			"start":          cmdStart,
+			"pause":          cmdPause,
+			"resume":         cmdResume,
+			"log":            cmdLog,
+			"partition":      cmdPartition,
+			"vm":             cmdVM,
+			"proxy":          cmdProxy,
+			"operator":       cmdOperator,
+			"daemon":         cmdDaemon,
+			"eventually":     cmdEventually,
+			"converge":       cmdConverge,
+			"sleep":          cmdSleep,
+			"passes":         cmdPasses,
+			"request":        cmdRequest,
+			"holder":         cmdHolder,
+			"engine":         cmdEngine,
+			"delay-commands": cmdDelayCommands,
 		},
 	})
 }
 
-func of(ts *testscript.TestScript) *running {
-	r, ok := ts.Value(runningKey{}).(*running)
+// deploymentOf returns the deployment of the script.
+func deploymentOf(ts *testscript.TestScript) *deployment {
+	r, ok := ts.Value(deploymentKey{}).(*deployment)
 	if !ok {
-		ts.Fatalf("no deployment")
+		ts.Fatalf("the script has no deployment")
 	}
 	return r
 }
 
-// settings reads name=value arguments.
-func settings(ts *testscript.TestScript, args []string) map[string]int {
+// parseValues parses name=number arguments.
+func parseValues(ts *testscript.TestScript, args []string) map[string]int {
 	values := map[string]int{}
 	for _, arg := range args {
 		name, value, _ := strings.Cut(arg, "=")
 		n, err := strconv.Atoi(value)
 		if err != nil {
-			ts.Fatalf("%s: not name=number", arg)
+			ts.Fatalf("argument %q: use name=number", arg)
 		}
 		values[name] = n
 	}
@@ -122,8 +123,8 @@
 	return fallback
 }
 
-// taken splits off the arguments with a prefix, without it.
-func taken(args []string, prefix string) (with, without []string) {
+// splitByPrefix returns the arguments that have the prefix, without it, and the others.
+func splitByPrefix(args []string, prefix string) (with, without []string) {
 	for _, arg := range args {
 		if rest, ok := strings.CutPrefix(arg, prefix); ok {
 			with = append(with, rest)
@@ -134,11 +135,11 @@
 	return with, without
 }
 
-// cmdAsk sends one request and keeps status, headers and body in $WORK/out:
-// ask ENTRY|ENTRY/metrics METHOD PATH BODY [Header:Value...]. A body of @N is N
-// bytes long.
-func cmdAsk(ts *testscript.TestScript, _ bool, args []string) {
-	cluster := of(ts).cluster
+// cmdRequest sends a request and writes status, headers and body of the response to $WORK/out. A body
+// of @N is N bytes long:
+// request ENTRY|ENTRY/metrics METHOD PATH BODY [HEADER:VALUE...]
+func cmdRequest(ts *testscript.TestScript, _ bool, args []string) {
+	cluster := deploymentOf(ts).cluster
 	name, metrics := strings.CutSuffix(args[0], "/metrics")
 	address := ""
 	for _, e := range cluster.Entries {
@@ -173,11 +174,12 @@
 	ts.Check(os.WriteFile(filepath.Join(ts.Getenv("WORK"), "out"), []byte(out.String()), 0o600))
 }
 
-// cmdCluster: cluster [entry:--flag=value] [agent:--flag=value] [zones=2] [entries=1] [engines=1] [plain=1] [ranks=0] [unfenced=0] [links=0] [proxy=0] [skew=ms] [step=ms] [drain=s]
+// cmdCluster starts a deployment:
+// cluster [entry:--flag=value] [agent:--flag=value] [zones=2] [entries=1] [engines=1] [plain=1] [ranks=0] [ignore-fences=0] [links=0] [proxy=0] [skew=MS] [step=MS] [drain=SECONDS]
 func cmdCluster(ts *testscript.TestScript, _ bool, args []string) {
-	entryArgs, args := taken(args, "entry:")
-	agentArgs, args := taken(args, "agent:")
-	v := settings(ts, args)
+	entryArgs, args := splitByPrefix(args, "entry:")
+	agentArgs, args := splitByPrefix(args, "agent:")
+	v := parseValues(ts, args)
 	bin, err := buildOnce()
 	ts.Check(err)
 	var zones []string
@@ -187,23 +189,24 @@
 	dir := ts.Getenv("WORK")
 	cluster, err := harness.New(harness.Layout{
 		Zones: zones, EntriesPerZone: valueOr(v, "entries", 1), EnginesPerZone: valueOr(v, "engines", 1),
-		PlainPerZone: valueOr(v, "plain", 1), RanksPerZone: valueOr(v, "ranks", 0), IgnoreFences: valueOr(v, "unfenced", 0) > 0, ZoneLinks: valueOr(v, "links", 0) > 0, Proxy: valueOr(v, "proxy", 0) > 0, EntryArgs: entryArgs, AgentArgs: agentArgs, StepTime: time.Duration(valueOr(v, "step", 6)) * time.Millisecond,
+		PlainPerZone: valueOr(v, "plain", 1), RanksPerZone: valueOr(v, "ranks", 0), IgnoreFences: valueOr(v, "ignore-fences", 0) > 0, ZoneLinks: valueOr(v, "links", 0) > 0, Proxy: valueOr(v, "proxy", 0) > 0, EntryArgs: entryArgs, AgentArgs: agentArgs, StepTime: time.Duration(valueOr(v, "step", 6)) * time.Millisecond,
 		KeyWindowSeconds: 60, ClockSkewMs: valueOr(v, "skew", 50), DrainTimeout: time.Duration(valueOr(v, "drain", 20)) * time.Second,
 	}, bin, dir)
 	ts.Check(err)
-	of(ts).cluster = cluster
+	deploymentOf(ts).cluster = cluster
 	ts.Defer(cluster.KillAll)
 	ts.Check(cluster.Start())
 }
 
-// cmdLoad starts traffic in the background: load seconds=5 [rate=60] [plain=40] [stream=30] [unkeyed=20] [tokens=10] [deadline=20000] [customers=3]
+// cmdLoad starts callers in the background:
+// load seconds=5 [rate=60] [plain=40] [stream=30] [unkeyed=20] [tokens=10] [deadline=20000] [retries=30]
 func cmdLoad(ts *testscript.TestScript, _ bool, args []string) {
-	r, v := of(ts), settings(ts, args)
+	r, v := deploymentOf(ts), parseValues(ts, args)
 	r.options = loadgen.Options{
 		Entries: r.cluster.CallerAddresses(), Keys: r.cluster.Keys, RunsURL: r.cluster.PlatformURL,
 		Rate: valueOr(v, "rate", 60), Duration: time.Duration(valueOr(v, "seconds", 5)) * time.Second,
 		Tokens: valueOr(v, "tokens", 10), PlainPercent: valueOr(v, "plain", 40), StreamPercent: valueOr(v, "stream", 30),
-		UnkeyedPercent: valueOr(v, "unkeyed", 20), DeadlineMs: valueOr(v, "deadline", 20000), MaxRetries: valueOr(v, "asks", 30),
+		UnkeyedPercent: valueOr(v, "unkeyed", 20), DeadlineMs: valueOr(v, "deadline", 20000), MaxRetries: valueOr(v, "retries", 30),
 	}
 	r.loads = make(chan loadResult, 1)
 	go func(options loadgen.Options, done chan<- loadResult) {
@@ -212,10 +215,11 @@
 	}(r.options, r.loads)
 }
 
-// cmdCheck waits for the traffic's end: every count adds up; and each named
-// count is at most the number given: check [unknown=0] [not-run=0] [silent=0]
+// cmdCheck waits for the end of the load. It checks that the counts add up, and that each named count
+// is at most the given number:
+// check [unknown=N] [not-run=N] [silent=N]
 func cmdCheck(ts *testscript.TestScript, _ bool, args []string) {
-	r, v := of(ts), settings(ts, args)
+	r, v := deploymentOf(ts), parseValues(ts, args)
 	result := <-r.loads
 	ts.Check(result.err)
 	report := result.report
@@ -227,78 +231,96 @@
 		ts.Fatalf("the counts don't add up: %s", report)
 	}
 	if report.Answered == 0 {
-		ts.Fatalf("nothing was answered: %s", report)
+		ts.Fatalf("no request was answered: %s", report)
 	}
-	for name, have := range map[string]int{"unknown": report.Unknown, "not-run": report.NotRun, "silent": report.NoResponse} {
-		if most, ok := v[name]; ok && have > most {
-			ts.Fatalf("%s=%d, want at most %d: %s", name, have, most, report)
+	for name, count := range map[string]int{"unknown": report.Unknown, "not-run": report.NotRun, "silent": report.NoResponse} {
+		if limit, ok := v[name]; ok && count > limit {
+			ts.Fatalf("%s=%d, want at most %d: %s", name, count, limit, report)
 		}
 	}
 }
 
+// process returns the process named by the only argument.
 func process(ts *testscript.TestScript, args []string) *harness.Process {
 	if len(args) != 1 {
-		ts.Fatalf("name one process")
+		ts.Fatalf("give one process name")
 	}
-	p := of(ts).cluster.Processes[args[0]]
+	p := deploymentOf(ts).cluster.Processes[args[0]]
 	if p == nil {
-		ts.Fatalf("no process %s", args[0])
+		ts.Fatalf("process %q does not exist", args[0])
 	}
 	return p
 }
 
+// cmdCrash kills a process:
+// crash PROCESS
 func cmdCrash(ts *testscript.TestScript, _ bool, args []string) { ts.Check(process(ts, args).Kill()) }
 
-func cmdRetire(ts *testscript.TestScript, _ bool, args []string) { ts.Check(process(ts, args).Stop()) }
+// cmdTerminate stops a process as planned and waits until it has exited:
+// terminate PROCESS
+func cmdTerminate(ts *testscript.TestScript, _ bool, args []string) {
+	ts.Check(process(ts, args).Stop())
+}
 
+// cmdStart starts a process that has exited:
+// start PROCESS
 func cmdStart(ts *testscript.TestScript, _ bool, args []string) { ts.Check(process(ts, args).Start()) }
 
+// cmdPause suspends a process:
+// pause PROCESS
 func cmdPause(ts *testscript.TestScript, _ bool, args []string) {
 	ts.Check(process(ts, args).Signal(syscall.SIGSTOP))
 }
 
+// cmdResume resumes a paused process:
+// resume PROCESS
 func cmdResume(ts *testscript.TestScript, _ bool, args []string) {
 	ts.Check(process(ts, args).Signal(syscall.SIGCONT))
 }
 
-// cmdLog sets the log's faults: log ok|down|lose-answers|slow|keep=N
+// cmdLog sets the faults of the log:
+// log ok|down|lose-responses|slow|max-records=N
 func cmdLog(ts *testscript.TestScript, _ bool, args []string) {
 	bodies := map[string]string{
-		"ok": `{}`, "down": `{"down":true}`, "lose-answers": `{"loseAnswers":true}`, "slow": `{"delayMs":300}`,
+		"ok": `{}`, "down": `{"down":true}`, "lose-responses": `{"loseAnswers":true}`, "slow": `{"delayMs":300}`,
 	}
 	body, known := bodies[args[0]]
-	if n, ok := strings.CutPrefix(args[0], "keep="); ok {
+	if n, ok := strings.CutPrefix(args[0], "max-records="); ok {
 		body, known = `{"keep":`+n+`}`, true
 	}
 	if !known {
-		ts.Fatalf("log: unknown fault %s", args[0])
+		ts.Fatalf("log: unknown fault %q", args[0])
 	}
-	ts.Check(of(ts).cluster.InjectFault("/fault/log", body))
+	ts.Check(deploymentOf(ts).cluster.InjectFault("/fault/log", body))
 }
 
-// cmdCut cuts a zone from the platform: cut ZONE on|off
-func cmdCut(ts *testscript.TestScript, _ bool, args []string) {
-	ts.Check(of(ts).cluster.InjectFault("/fault/cut/"+args[0]+"/"+strconv.FormatBool(args[1] == "on"), ""))
+// cmdPartition partitions a zone from the platform, or ends that:
+// partition ZONE on|off
+func cmdPartition(ts *testscript.TestScript, _ bool, args []string) {
+	ts.Check(deploymentOf(ts).cluster.InjectFault("/fault/cut/"+args[0]+"/"+strconv.FormatBool(args[1] == "on"), ""))
 }
 
-// cmdProxy sets what the proxy between entries and agents does: proxy pass|stale|...
+// cmdProxy sets the mode of the proxy between entries and agents:
+// proxy pass|delay|reset|one-way|silent|stale
 func cmdProxy(ts *testscript.TestScript, _ bool, args []string) {
 	if len(args) != 1 {
-		ts.Fatalf("name one mode")
+		ts.Fatalf("give one mode")
 	}
-	ts.Check(of(ts).cluster.SetProxyMode(faultproxy.Mode(args[0])))
+	ts.Check(deploymentOf(ts).cluster.SetProxyMode(faultproxy.Mode(args[0])))
 }
 
-// cmdVM sets what the platform's list says: vm NAME live|leaving
+// cmdVM sets the state of a VM in the platform's VM list:
+// vm NAME live|leaving
 func cmdVM(ts *testscript.TestScript, _ bool, args []string) {
-	ts.Check(of(ts).cluster.InjectFault("/fault/server/"+args[0]+"/"+args[1], ""))
+	ts.Check(deploymentOf(ts).cluster.InjectFault("/fault/server/"+args[0]+"/"+args[1], ""))
 }
 
-// cmdPass lets the traffic go on: pass MILLISECONDS
-func cmdPass(ts *testscript.TestScript, _ bool, args []string) {
+// cmdSleep waits:
+// sleep MILLISECONDS
+func cmdSleep(ts *testscript.TestScript, _ bool, args []string) {
 	ms, err := strconv.Atoi(args[0])
 	ts.Check(err)
 	time.Sleep(time.Duration(ms) * time.Millisecond)
 }
 
-const stepsTimeout = 25 * time.Second
+const passesTimeout = 25 * time.Second
