--- a/standins/bench/admission.go
+++ b/standins/bench/admission.go
@@ -12,9 +12,8 @@
 	"github.com/crowbridge/crowbridge/internal/config"
 )
 
-// serverSim drives one real admission queue before a model of a server, in
-// virtual time: the server runs simBatch requests at full speed and slows all
-// down beyond that.
+// serverSim simulates a server behind a real admission queue, in virtual time. The server
+// runs up to simBatch requests at full speed and slows all of them down beyond that.
 type serverSim struct {
 	queue   *admission.Queue
 	now     time.Time
@@ -24,10 +23,10 @@
 	id      int
 	running int
 
-	urgentLatencies []float64 // times from arrival to answer, in milliseconds
+	urgentLatencies []float64 // from arrival to completion, in milliseconds
 	urgentSent      int
 	urgentOnTime    int
-	goodput         float64 // cost answered in time
+	goodput         float64 // cost of requests that completed before their deadline
 	costByCustomer  map[string]float64
 }
 
@@ -43,7 +42,7 @@
 	done    string
 }
 
-// arrival is a stream of requests of one customer and class.
+// arrival is a Poisson process of requests of one customer and class.
 type arrival struct {
 	customer string
 	class    config.Class
@@ -162,9 +161,9 @@
 	}
 }
 
-// flood is urgent work at a tenth of the capacity and patient work that brings
-// the whole to load times the capacity. In first-in-first-out order all is of
-// one class and one customer.
+// arrivalsFor returns urgent requests at a tenth of the capacity, and patient requests that
+// bring the total to load times the capacity. For the FIFO baseline all have the same class
+// and customer.
 func arrivalsFor(load float64, fifo bool) []*arrival {
 	urgentRate := 0.1 * capacity / urgentCost
 	patientRate := (load - 0.1) * capacity / patientCost
@@ -181,7 +180,8 @@
 
 const simLength = 2 * time.Minute
 
-// Admission measures promptness, fairness, goodput, speed and memory.
+// Admission measures latency, fairness, goodput, throughput and memory of the admission
+// queue.
 func (r *Reporter) Admission() {
 	baseline := 0.0
 	for _, load := range []float64{0.5, 1, 2, 5} {
@@ -202,8 +202,8 @@
 	r.queueThroughput()
 }
 
-// fifoKept returns the share of urgent requests in time when all wait in one
-// line. Urgent ones are told by their deadline.
+// fifoOnTime returns the percentage of urgent requests that complete before their deadline
+// with a FIFO queue.
 func (s *serverSim) fifoOnTime(load float64) float64 {
 	fifo := newFIFOSim(1)
 	fifo.run(load, simLength)
@@ -214,7 +214,7 @@
 	s := newServerSim(false, 2)
 	var arrivals []*arrival
 	for i := range 20 {
-		rate := 0.1 * capacity / urgentCost // twice the capacity together, without the greedy one
+		rate := 0.1 * capacity / urgentCost // together twice the capacity, without the customer that sends more
 		if i == 0 {
 			rate *= 50
 		}
--- a/standins/bench/bench.go
+++ b/standins/bench/bench.go
@@ -1,6 +1,6 @@
-// Package bench measures crowbridge's decisions and processes. Each figure is
-// one line: area/name value unit baseline ratio. A ratio compares two figures of
-// the same run.
+// Package bench contains benchmarks of crowbridge's algorithms and processes. Each figure is
+// a line: area/name value unit baseline ratio. The ratio compares value and baseline, which
+// are measured in the same run.
 package bench
 
 import (
@@ -12,13 +12,13 @@
 	"github.com/pkg/errors"
 )
 
-// Reporter prints figures.
+// Reporter runs benchmarks and prints their figures to Out.
 type Reporter struct {
-	// Out is where the lines go.
 	Out io.Writer
 }
 
-// inLogs runs an area with a folder for the logs of its processes, which stays if it fails.
+// withLogDir runs a benchmark with a temporary directory for the logs of its processes. The
+// directory is retained if the benchmark fails.
 func withLogDir(area func(dir string) error) error {
 	dir, err := os.MkdirTemp("", "crowbridge-bench-")
 	if err != nil {
@@ -30,12 +30,12 @@
 	return errors.Wrap(os.RemoveAll(dir), "logs")
 }
 
-// Figure prints a value that has no baseline.
+// Figure prints a value without a baseline.
 func (r *Reporter) Figure(name string, value float64, unit string) {
 	fmt.Fprintf(r.Out, "%-58s %12.4g %-10s %12s %8s\n", name, value, unit, "-", "-")
 }
 
-// Against prints a value beside the baseline's.
+// Compare prints a value, a baseline and their ratio.
 func (r *Reporter) Compare(name string, value float64, unit string, baseline float64) {
 	ratio := 0.0
 	if baseline != 0 {
--- a/standins/bench/config.go
+++ b/standins/bench/config.go
@@ -11,7 +11,7 @@
 	"github.com/pkg/errors"
 )
 
-// Letter 1's size.
+// Size of the simulated deployment.
 const (
 	sizeCustomers    = 4200
 	sizeModels       = 25
@@ -20,8 +20,8 @@
 	sizeZones        = 10
 )
 
-// Config measures the fold, snapshots, memory and the routing index at the size
-// to come.
+// Config measures how fast configuration changes are applied, and the cost of snapshots, of
+// memory and of the routing index.
 func (r *Reporter) Config() error {
 	var before, after runtime.MemStats
 	runtime.GC()
@@ -37,9 +37,9 @@
 	start := time.Now()
 	for _, e := range entries {
 		if err := state.Apply(e); err != nil {
-			return errors.Wrap(err, "fold")
+			return errors.Wrap(err, "apply")
 		}
-		state.View() // every change is published
+		state.View() // as a replica does after each change
 	}
 	took := time.Since(start)
 	runtime.GC()
@@ -75,7 +75,7 @@
 	}
 }
 
-// foldFirst folds the whole deployment as one change.
+// applyInitial applies the whole deployment as one change.
 func applyInitial(state *config.State) error {
 	var objects []*config.Object
 	for i := range sizeModels {
@@ -111,7 +111,7 @@
 		return err
 	}
 	if err := state.Apply(entry); err != nil {
-		return errors.Wrap(err, "fold")
+		return errors.Wrap(err, "apply")
 	}
 	if result := state.Results["first"]; !result.Accepted {
 		return errors.New(result.Reason)
@@ -119,7 +119,7 @@
 	return nil
 }
 
-// changes returns a day's changes, one customer each.
+// dailyChanges returns the changes of one day. Each changes one customer.
 func dailyChanges(state *config.State) ([]config.LogEntry, error) {
 	entries := make([]config.LogEntry, 0, sizeDailyChanges)
 	for i := range sizeDailyChanges {
--- a/standins/bench/control.go
+++ b/standins/bench/control.go
@@ -20,8 +20,8 @@
 
 const controlDuration = 10 * time.Second
 
-// Control measures what a daemon spends on control as daemons and servers grow,
-// how soon a change is in force, and how soon a fresh VM serves.
+// Control measures the cost of control traffic per daemon for several numbers of daemons and
+// servers, how fast a configuration change reaches all entries, and how fast an entry starts.
 func (r *Reporter) Control(bin string) error {
 	for _, size := range []struct{ entriesPerZone, serversPerZone int }{{2, 6}, {8, 6}, {32, 6}, {2, 24}, {2, 48}, {8, 24}, {8, 48}} {
 		err := withLogDir(func(dir string) error { return r.controlAt(bin, dir, size.entriesPerZone, size.serversPerZone) })
@@ -53,16 +53,15 @@
 	return cluster, nil
 }
 
-// usage is what a process has used.
+// usage is the resource usage of a process since its start.
 type usage struct {
-	cpu   float64
-	bytes float64
+	cpu   float64 // seconds
+	bytes float64 // read and written
 }
 
 func usageOf(p *harness.Process) usage { return usage{cpu: cpuSeconds(p), bytes: ioBytes(p)} }
 
-// ioBytes returns the bytes that a process has read and written, sockets
-// included.
+// ioBytes returns the bytes that a process has read and written, including sockets.
 func ioBytes(p *harness.Process) float64 {
 	data, err := os.ReadFile(fmt.Sprintf("/proc/%d/io", p.PID()))
 	if err != nil {
@@ -74,7 +73,7 @@
 		if !found || (name != "rchar" && name != "wchar") {
 			continue
 		}
-		n, _ := strconv.ParseFloat(value, 64) // the kernel writes numbers
+		n, _ := strconv.ParseFloat(value, 64) // always a number
 		total += n
 	}
 	return total
@@ -131,8 +130,8 @@
 
 const propagationChanges = 30
 
-// inForce appends changes and measures until every entry has each, against a
-// process that polls the log once a second.
+// measurePropagation appends changes and measures the time until each entry has them. The
+// baseline is a process that polls the log once per second.
 func (r *Reporter) measurePropagation(cluster *harness.Cluster, name, faults string) error {
 	if err := cluster.InjectFault("/fault/log", faults); err != nil {
 		return err
@@ -160,7 +159,7 @@
 	}
 	polled := make([]float64, 0, 1000)
 	for i := range 1000 {
-		polled = append(polled, float64(i)) // a poll once a second finds a change after 0 to 1000 ms
+		polled = append(polled, float64(i)) // uniformly distributed from 0 to 1000 ms
 	}
 	r.Compare(name+"/p50", Quantile(times, 0.5), "ms", Quantile(polled, 0.5))
 	r.Compare(name+"/p99", Quantile(times, 0.99), "ms", Quantile(polled, 0.99))
@@ -187,7 +186,7 @@
 	return platform.ConfigLog{Store: store, Now: time.Now}.Append(context.Background(), entry.Data)
 }
 
-// freshVM measures from a process's start to its readiness.
+// measureStartup measures the time from the start of an entry to its readiness.
 func (r *Reporter) measureStartup(cluster *harness.Cluster, name string) error {
 	entry := cluster.Entries[0]
 	for _, log := range []struct{ name, faults string }{{"with-log", "{}"}, {"without-log", `{"down":true}`}} {
--- a/standins/bench/fifo.go
+++ b/standins/bench/fifo.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// fifoSim is the baseline: the same server and arrivals, one line, first in,
-// first out, at most simBatch running, nothing refused.
+// fifoSim is the baseline of serverSim: the same server and arrivals with an unbounded FIFO
+// queue and at most simBatch running requests.
 type fifoSim struct {
 	random       *rand.Rand
 	sent, onTime int
@@ -15,7 +15,7 @@
 func newFIFOSim(seed uint64) *fifoSim { return &fifoSim{random: rand.New(rand.NewPCG(seed, 9))} }
 
 func (f *fifoSim) run(load float64, length time.Duration) {
-	free := make([]time.Time, simBatch) // when each slot is free
+	free := make([]time.Time, simBatch) // time at which each slot becomes free
 	for i := range free {
 		free[i] = simStart
 	}
--- a/standins/bench/group.go
+++ b/standins/bench/group.go
@@ -13,8 +13,8 @@
 	groupPoll     = 10 * time.Millisecond
 )
 
-// Group measures, with four ranks in real processes, how long map switches stall
-// the group, and how soon a new holder orders after one has died.
+// Group measures, with the agents of four ranks in real processes, how long map switches stall
+// the group, and how fast a new agent takes over the lease after a crash.
 func (r *Reporter) Group(bin string) error {
 	return withLogDir(func(dir string) error { return r.groupIn(bin, dir) })
 }
@@ -50,7 +50,7 @@
 			return nil
 		}
 	}
-	return errors.Errorf("the group has not used %d maps", n)
+	return errors.Errorf("the group has not used %d maps in time", n)
 }
 
 func (r *Reporter) measureStalls(cluster *harness.Cluster) error {
@@ -64,7 +64,7 @@
 		return err
 	}
 	if after.MixedPasses > 0 {
-		return errors.Errorf("%d passes with two maps", after.MixedPasses)
+		return errors.Errorf("%d passes with mixed maps", after.MixedPasses)
 	}
 	steps := int(after.Passes - before.Passes)
 	intervals := make([]float64, 0, steps)
@@ -80,7 +80,7 @@
 	return nil
 }
 
-// takeover crashes the holder and waits for the next map that another brings in.
+// measureTakeover kills the lease holder and waits for the next holder and its first map.
 func (r *Reporter) measureTakeover(cluster *harness.Cluster) error {
 	holder, err := cluster.LeaseHolder()
 	if err != nil {
@@ -105,5 +105,5 @@
 			return nil
 		}
 	}
-	return errors.New("nobody has taken the lease over")
+	return errors.New("no agent has taken over the lease in time")
 }
--- a/standins/bench/limits.go
+++ b/standins/bench/limits.go
@@ -10,22 +10,22 @@
 )
 
 const (
-	// limitsPerSecond is what each server names in the area limits, limitsAsked how many times
-	// as much is asked for.
+	// limitsPerSecond is the limit of each server; callers send limitsDemandFactor times as
+	// many requests.
 	limitsPerSecond    = 2.0
 	limitsDemandFactor = 3.0
-	// limitsCounted is how long figures are taken after a fleet has settled.
+	// limitsMeasureTime is the duration of a measurement after the fleet has settled.
 	limitsMeasureTime = 10 * time.Second
-	// limitsJump is how many times as much servers name in the end.
+	// limitsIncreaseFactor is the factor by which the limits increase at the end.
 	limitsIncreaseFactor = 5.0
-	// limitsUsed is the part of a limit that counts as used after a jump.
+	// limitsUsedFraction is the fraction of the increased limit that counts as used.
 	limitsUsedFraction = 0.8
 )
 
-// Limits plays daemons that keep servers' limits together, in virtual time: the most that one
-// server got in 4 s and what was used against the limit, the time to settle after it
-// has risen, and what a daemon spends for it. Processor time is the model's and the
-// network's too.
+// Limits simulates daemons that enforce the rate limits of servers together, in virtual
+// time. It measures the maximum for one server in 4 s and the used fraction of the limits, the
+// settling time after an increase, and traffic and CPU time per daemon. The CPU time includes
+// that of the simulation.
 func (r *Reporter) Limits() {
 	for _, size := range []struct{ daemons, servers int }{{8, 1}, {8, 24}, {32, 1}, {32, 24}, {128, 1}, {128, 24}, {410, 1}, {410, 24}} {
 		r.limitsAt(size.daemons, size.servers)
@@ -42,7 +42,7 @@
 	r.Compare("limits/worst_4s_in_a_cut_8_daemons_1_server", float64(maxInWindow), "requests", limitsPerSecond*limitsim.Window.Seconds())
 }
 
-// spreadDemand divides what is asked of the servers evenly among the daemons.
+// spreadDemand distributes the demand evenly over the daemons.
 func spreadDemand(s *limitsim.Sim, servers int) {
 	for _, d := range s.Daemons {
 		d.RequestRate = limitsDemandFactor * limitsPerSecond * float64(servers) / float64(len(s.Daemons))
@@ -67,7 +67,7 @@
 	r.Figure(name("settled_after_a_jump"), increaseSettleTime(s, servers).Seconds(), "s")
 }
 
-// settled lets the limit rise and returns how long it takes until it's used.
+// increaseSettleTime increases the limits and returns the time until they are used.
 func increaseSettleTime(s *limitsim.Sim, servers int) time.Duration {
 	const sampleTime = 500 * time.Millisecond
 	for _, d := range s.Daemons {
@@ -84,11 +84,11 @@
 	}
 }
 
-// ownCPU is the processor time that this process has used, in seconds.
+// processCPUSeconds returns the CPU time of this process.
 func processCPUSeconds() float64 {
 	var usage syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &usage); err != nil {
-		return 0 // never for oneself
+		return 0 // never fails for the process itself
 	}
 	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano()).Seconds()
 }
--- a/standins/bench/path.go
+++ b/standins/bench/path.go
@@ -16,7 +16,7 @@
 	"github.com/pkg/errors"
 )
 
-// pathBody asks for one token; the stand-in's step is short here.
+// pathBody requests one token.
 const pathBody = `{"model":"petal-7b","max_tokens":1,"messages":[{"role":"user","content":"hello"}]}`
 
 const streamTokens = 200
@@ -25,7 +25,7 @@
 	return fmt.Sprintf(`{"model":"petal-7b","max_tokens":%d,"stream":true,"messages":[{"role":"user","content":"hello"}]}`, streamTokens)
 }
 
-// target is where the load goes.
+// target is an address to which load is sent.
 type target struct {
 	url, key string
 	client   *http.Client
@@ -47,15 +47,15 @@
 	}
 	content, err := io.ReadAll(response.Body)
 	if err != nil {
-		return errors.Wrap(err, "answer")
+		return errors.Wrap(err, "response")
 	}
 	if response.StatusCode != http.StatusOK {
 		return errors.Errorf("status %d: %s", response.StatusCode, content)
 	}
-	return errors.Wrap(response.Body.Close(), "answer")
+	return errors.Wrap(response.Body.Close(), "response")
 }
 
-// paced sends at a rate and returns the times in milliseconds.
+// openLoop sends requests at a fixed rate and returns the latencies in milliseconds.
 func (t *target) openLoop(rate int, length time.Duration) ([]float64, error) {
 	var mu sync.Mutex
 	var times []float64
@@ -81,7 +81,8 @@
 	return times, lastErr
 }
 
-// closed keeps workers busy and returns the requests per second.
+// closedLoop sends requests from a number of workers, each with one request at a time, and
+// returns the requests per second.
 func (t *target) closedLoop(workers int, length time.Duration, body string) (float64, error) {
 	var group sync.WaitGroup
 	var mu sync.Mutex
@@ -110,7 +111,8 @@
 	pathWorkers  = 24
 )
 
-// Path measures what entry and agent add to a direct call.
+// Path measures the throughput of entry and agent, the latency that they add to a direct
+// call, and their memory.
 func (r *Reporter) Path(bin string) error {
 	return withLogDir(func(dir string) error { return r.pathIn(bin, dir) })
 }
@@ -133,9 +135,8 @@
 	return r.measurePath(direct, through, entry, agent)
 }
 
-// onOneProcessor starts processes as they are on the users' entry VMs, which have one
-// core: with more, an idle Go scheduler looks for work on all of them, which took
-// a third of an entry's processor time here.
+// withOneProcessor calls start with GOMAXPROCS=1, since the users' entry VMs have one core.
+// With more, the Go scheduler spends CPU time on the search for work.
 func withOneProcessor(start func() error) error {
 	const variable = "GOMAXPROCS"
 	before := os.Getenv(variable)
@@ -145,7 +146,7 @@
 	if err := start(); err != nil {
 		return err
 	}
-	return errors.Wrap(os.Setenv(variable, before), "bench") // empty counts as unset
+	return errors.Wrap(os.Setenv(variable, before), "bench") // an empty value counts as unset
 }
 
 func (r *Reporter) measurePath(direct, through *target, entry, agent *harness.Process) error {
@@ -194,18 +195,18 @@
 
 const (
 	heldConnections = 400
-	// heldTokens keep a stream going for longer than the measurement.
+	// heldTokens makes a stream last longer than the measurement.
 	heldTokens = 1 << 17
 	heldTime   = 3 * time.Second
 )
 
-// measureMemory measures what an idle connection and an active stream hold.
+// measureMemory measures the memory per idle connection and per active stream.
 func (r *Reporter) measureMemory(through *target, entry *harness.Process) error {
 	before := rssMiB(entry)
 	through.client.Transport = &http.Transport{MaxIdleConnsPerHost: heldConnections}
 	var group sync.WaitGroup
 	for range heldConnections {
-		group.Go(func() { _ = through.post(pathBody) }) // what isn't served isn't counted
+		group.Go(func() { _ = through.post(pathBody) }) // failures are ignored
 	}
 	group.Wait()
 	idle := rssMiB(entry)
@@ -222,7 +223,7 @@
 	return nil
 }
 
-// hold reads a stream until the context ends.
+// holdStream reads a stream until the context ends.
 func (t *target) holdStream(ctx context.Context, body string) {
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, t.url+"/v1/chat/completions", bytes.NewBufferString(body))
 	if err != nil {
@@ -237,10 +238,10 @@
 	_ = response.Body.Close()
 }
 
-// clockTick is the kernel's unit of processor time in /proc.
+// clockTick is the number of units of CPU time per second in /proc.
 const clockTick = 100.0
 
-// cpuSeconds returns the processor time that a process has used.
+// cpuSeconds returns the CPU time of a process.
 func cpuSeconds(p *harness.Process) float64 {
 	data, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", p.PID()))
 	if err != nil {
@@ -248,12 +249,12 @@
 	}
 	fields := strings.Fields(string(data[bytes.LastIndexByte(data, ')')+1:]))
 	const userField, systemField = 11, 12
-	user, _ := strconv.ParseFloat(fields[userField], 64)     // the kernel writes numbers
-	system, _ := strconv.ParseFloat(fields[systemField], 64) // the kernel writes numbers
+	user, _ := strconv.ParseFloat(fields[userField], 64)     // always a number
+	system, _ := strconv.ParseFloat(fields[systemField], 64) // always a number
 	return (user + system) / clockTick
 }
 
-// rssMiB returns a process's resident memory.
+// rssMiB returns the resident memory of a process.
 func rssMiB(p *harness.Process) float64 {
 	data, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", p.PID()))
 	if err != nil {
@@ -262,7 +263,7 @@
 	for _, line := range strings.Split(string(data), "\n") {
 		fields := strings.Fields(line)
 		if len(fields) > 1 && fields[0] == "VmRSS:" {
-			kib, _ := strconv.ParseFloat(fields[1], 64) // the kernel writes numbers
+			kib, _ := strconv.ParseFloat(fields[1], 64) // always a number
 			return kib / 1024
 		}
 	}
--- a/standins/bench/platformentry.go
+++ b/standins/bench/platformentry.go
@@ -20,24 +20,22 @@
 )
 
 const (
-	// hostedWorkers callers keep the entry busy, each with one request at a time.
-	platformWorkers = 16
-	// hostedEvents is how long a stream is.
-	platformEvents   = 200
-	platformDuration = 5 * time.Second
-	// hostedStart bounds an entry's start.
+	platformWorkers      = 16  // concurrent callers
+	platformEvents       = 200 // per stream
+	platformDuration     = 5 * time.Second
 	platformStartTimeout = 10 * time.Second
 )
 
-// hostedBench is an entry of the users' platform before one stand-in server.
+// platformBench sends requests to a backend server, directly and through an entry.
 type platformBench struct {
 	direct, through string
 	client          *http.Client
 	requests        atomic.Int64
 }
 
-// Hosted measures what an entry on the users' platform adds to a direct call: time
-// and processor, this process's with and without the entry.
+// PlatformEntry measures the latency and the CPU time that an entry on the users' platform
+// adds to a direct call. The CPU time is that of this process, which also runs the entry, the
+// callers and the backend server.
 func (r *Reporter) PlatformEntry() error {
 	store := standin.NewStore()
 	storeServer, backend := httptest.NewServer(store), httptest.NewServer(standin.BackendHandler(platformEvents))
@@ -51,15 +49,15 @@
 		return err
 	}
 	ctx, stop := context.WithCancel(context.Background())
-	ended := make(chan error, 1)
-	go func() { ended <- platformdaemon.NewEntryDaemon(settings, nil, discardLog()).Run(ctx) }()
+	exited := make(chan error, 1)
+	go func() { exited <- platformdaemon.NewEntryDaemon(settings, nil, discardLog()).Run(ctx) }()
 	b := &platformBench{
 		direct: address, through: settings.Callers,
 		client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: platformWorkers}},
 	}
 	err = b.measure(r, settings.Readiness)
 	stop()
-	if stopped := <-ended; err == nil {
+	if stopped := <-exited; err == nil {
 		err = stopped
 	}
 	return err
@@ -71,7 +69,7 @@
 	return logrus.NewEntry(logger)
 }
 
-// hostedSettings returns settings on free loopback ports.
+// platformSettings returns settings with free loopback ports.
 func platformSettings(store string) (*platform.Settings, error) {
 	const ip, ports = "127.0.0.1", 6
 	var free [ports]string
@@ -102,14 +100,13 @@
 	}
 	for _, kind := range []struct {
 		name, path string
-		// units are what one request counts for.
-		units int
-		unit  string
+		units      int // per request
+		unit       string
 	}{
 		{"requests", standin.BackendPlainPath, 1, "request"},
 		{"streams", standin.BackendStreamPath, platformEvents, "event"},
 	} {
-		if _, err := b.load(b.through, kind.path); err != nil { // warms both sides up
+		if _, err := b.load(b.through, kind.path); err != nil { // warm up
 			return err
 		}
 		direct, err := b.load(b.direct, kind.path)
@@ -140,10 +137,10 @@
 			return nil
 		}
 	}
-	return errors.New("hosted bench: the entry isn't ready")
+	return errors.New("hosted bench: the entry did not become ready in time")
 }
 
-// sample is what a load of some seconds saw.
+// sample contains the results of a load phase.
 type sample struct {
 	requests int
 	// times are in milliseconds, processor in seconds of this process.
@@ -151,7 +148,7 @@
 	cpu   float64
 }
 
-// load keeps workers busy at an address.
+// load sends requests from all workers for platformDuration.
 func (b *platformBench) load(address, path string) (sample, error) {
 	type result struct {
 		times []float64
@@ -194,9 +191,9 @@
 	if err != nil {
 		return errors.Wrap(err, "request")
 	}
-	defer func() { _ = response.Body.Close() }() // read whole, or given up
+	defer func() { _ = response.Body.Close() }() // read to its end below
 	if _, err := io.Copy(io.Discard, response.Body); err != nil {
-		return errors.Wrap(err, "answer")
+		return errors.Wrap(err, "response")
 	}
 	if response.StatusCode != http.StatusOK {
 		return errors.Errorf("status %d", response.StatusCode)
@@ -204,7 +201,7 @@
 	return nil
 }
 
-// ownProcessor is the processor time that this process has used, in seconds.
+// selfCPUSeconds returns the CPU time of this process.
 func selfCPUSeconds() float64 {
 	var usage syscall.Rusage
 	if syscall.Getrusage(syscall.RUSAGE_SELF, &usage) != nil {
--- a/standins/bench/quarantine.go
+++ b/standins/bench/quarantine.go
@@ -9,8 +9,8 @@
 	"github.com/crowbridge/crowbridge/internal/quarantine"
 )
 
-// Quarantine measures what telling requests apart costs, and plays requests that end each
-// server that runs them, in virtual time, on the tables of several entries.
+// Quarantine measures the cost of the quarantine table per request, and simulates requests
+// that crash each server that runs them, in virtual time, with the tables of several entries.
 func (r *Reporter) Quarantine() {
 	r.measureTableCost()
 	for _, ranks := range []int{16, 256} {
@@ -19,8 +19,7 @@
 	}
 }
 
-// quarantineCost compares a request's dealings with the table while nothing is held of any
-// with those while much is.
+// measureTableCost compares the cost per request of an empty table and of a full one.
 func (r *Reporter) measureTableCost() {
 	for _, size := range []int{4 << 10, 1 << 20} {
 		body := make([]byte, size)
@@ -29,7 +28,7 @@
 	}
 }
 
-// fullTable holds as much as a table does at most.
+// fullTable returns a table at its maximum size.
 func fullTable() *quarantine.Table {
 	t := quarantine.NewTable()
 	now := time.Now()
@@ -41,7 +40,8 @@
 	return t
 }
 
-// perRequest is the time of a request's dealings with a table, as the pipeline has them.
+// nsPerRequest returns the duration of the calls to a table that the dispatch pipeline makes
+// for each request, in nanoseconds.
 func nsPerRequest(t *quarantine.Table, body []byte) float64 {
 	now := time.Now()
 	result := testing.Benchmark(func(b *testing.B) {
@@ -59,30 +59,30 @@
 }
 
 const (
-	// repeatsPlayed is how often the caller of a guilty request repeats it, repeatEach how
-	// long it waits, as callers who come back do.
+	// simRepeats is how often a caller repeats a request that crashes servers, after
+	// simRepeatInterval each.
 	simRepeats        = 20
 	simRepeatInterval = 300 * time.Millisecond
-	// playedEntries are the entries, playedBeside the sound requests in progress at a rank.
-	crashSimEntries = 8
+	crashSimEntries   = 8
+	// crashSimHealthy is the number of healthy requests in progress at each rank.
 	crashSimHealthy = 12
-	// foundAfter is how long finding out takes, toldAfter how long a datagram does, groupAway
-	// how long a group is away for one rank's end.
+	// detectionDelay is the time until a crash is detected, gossipDelay that until other
+	// entries are notified, and groupRecoveryTime that until the group runs again.
 	detectionDelay    = 120 * time.Millisecond
 	gossipDelay       = 5 * time.Millisecond
 	groupRecoveryTime = 4 * time.Second
 )
 
-// playedNews is evidence on its way to the other entries.
+// evidenceUpdate is evidence that reaches all entries at a time.
 type evidenceUpdate struct {
-	at       time.Time
-	evidence []quarantine.Evidence
+	deliverAt time.Time
+	evidence  []quarantine.Evidence
 }
 
-// endedServers plays some guilty requests whose callers repeat them at random entries, on a
-// group of ranks that each of them breaks. The baseline has no quarantine: each repeat that
-// meets an open group ends a rank.
-func (r *Reporter) measureCrashes(ranks, guilty int) {
+// measureCrashes simulates callers that repeat their crashing requests at random entries of a
+// group of ranks. Each crash of a rank breaks the group. In the baseline without quarantine
+// each repeat crashes a rank if the group is open.
+func (r *Reporter) measureCrashes(ranks, crashing int) {
 	random := rand.New(rand.NewPCG(1, 1))
 	tables := make([]*quarantine.Table, crashSimEntries)
 	for i := range tables {
@@ -90,18 +90,18 @@
 	}
 	now := time.Unix(0, 0)
 	openAt, crashes, baselineCrashes, healthy, quarantined := now, 0, 0, 0, 0
-	baselineOpenAt := now // of the baseline's group
+	baselineOpenAt := now
 	var updates []evidenceUpdate
-	for n := range simRepeats * guilty * int(groupRecoveryTime/simRepeatInterval) {
+	for n := range simRepeats * crashing * int(groupRecoveryTime/simRepeatInterval) {
 		for _, update := range updates {
-			if !now.Before(update.at) {
+			if !now.Before(update.deliverAt) {
 				for _, table := range tables {
 					table.Merge(update.evidence, now)
 				}
 			}
 		}
 		table := tables[random.IntN(crashSimEntries)]
-		d := quarantine.DigestOf("c", "POST", "h", "/", fmt.Append(nil, n%guilty))
+		d := quarantine.DigestOf("c", "POST", "h", "/", fmt.Append(nil, n%crashing))
 		if !now.Before(baselineOpenAt) {
 			baselineCrashes++
 			baselineOpenAt = now.Add(groupRecoveryTime)
@@ -112,7 +112,7 @@
 			updates = append(updates, crashRank(tables, table, d, fmt.Sprint("r", random.IntN(ranks), "-", crashes), crashes, now))
 			table.Done(d)
 		}
-		for i := range crashSimHealthy { // those that ran at the last rank come again
+		for i := range crashSimHealthy { // requests that were in progress at the last crash are retried
 			healthy++
 			if table.Decision(healthyDigest(crashes, i), now).State == quarantine.Quarantined {
 				quarantined++
@@ -120,22 +120,23 @@
 		}
 		now = now.Add(simRepeatInterval)
 	}
-	name := fmt.Sprintf("quarantine/%d_ranks_%d_guilty", ranks, guilty)
+	name := fmt.Sprintf("quarantine/%d_ranks_%d_guilty", ranks, crashing)
 	r.Compare(name+"_servers_ended", float64(crashes), "servers", float64(baselineCrashes))
 	r.Figure(name+"_sound_held_back", float64(quarantined), fmt.Sprintf("of %d", healthy))
 }
 
 func healthyDigest(crash, i int) quarantine.Digest {
-	return quarantine.DigestOf("c", "POST", "h", "/", fmt.Appendf(nil, "sound %d beside end %d", i, crash))
+	return quarantine.DigestOf("c", "POST", "h", "/", fmt.Appendf(nil, "healthy request %d of crash %d", i, crash))
 }
 
-// endRank cuts off what runs at a rank: a guilty request at one entry, sound ones at all.
-func crashRank(tables []*quarantine.Table, observer *quarantine.Table, guilty quarantine.Digest, server string, crash int, now time.Time) evidenceUpdate {
-	observer.RecordConnectionLoss(guilty, quarantine.RequestInfo{}, server, now)
+// crashRank records the requests that a crash interrupts, a crashing one at one entry
+// and healthy ones at all entries, and returns the resulting evidence.
+func crashRank(tables []*quarantine.Table, observer *quarantine.Table, crashing quarantine.Digest, server string, crash int, now time.Time) evidenceUpdate {
+	observer.RecordConnectionLoss(crashing, quarantine.RequestInfo{}, server, now)
 	for i := range crashSimHealthy {
 		tables[i%len(tables)].RecordConnectionLoss(healthyDigest(crash, i), quarantine.RequestInfo{}, server, now)
 	}
-	update := evidenceUpdate{at: now.Add(detectionDelay + gossipDelay)}
+	update := evidenceUpdate{deliverAt: now.Add(detectionDelay + gossipDelay)}
 	for _, table := range tables {
 		update.evidence = append(update.evidence, table.MarkExited(server, now.Add(detectionDelay))...)
 	}
--- a/standins/bench/rebalance.go
+++ b/standins/bench/rebalance.go
@@ -9,7 +9,7 @@
 	"github.com/crowbridge/crowbridge/standins/popularitytrace"
 )
 
-// weightings are what operators weigh more: skew, or the cost of moves.
+// weightings are operator settings that prioritize low skew or few moves.
 var weightings = []struct {
 	name             string
 	skew, costWeight float64
@@ -18,16 +18,16 @@
 	{"weighs-moves", 1, 0.5},
 }
 
-// reportWeight is the weight of the newest report in the estimate.
+// reportWeight is the weight of the latest measurement in the moving average.
 const reportWeight = 0.5
 
-// rebalanceRun is what one policy did over a trace.
+// rebalanceRun contains the results of a policy over a trace.
 type rebalanceRun struct {
 	skews []float64
-	loads int
+	loads int // of experts into ranks
 }
 
-// planPolicy returns the placement for the next interval and what it loaded.
+// planPolicy returns the next placement and the number of experts to load for it.
 type planPolicy func(current *rebalance.Placement, estimate rebalance.Popularity, speeds []float64) (*rebalance.Placement, int)
 
 func neverMove(current *rebalance.Placement, _ rebalance.Popularity, _ []float64) (*rebalance.Placement, int) {
@@ -48,22 +48,22 @@
 	}
 }
 
-// warmUp is how many intervals every policy may settle before it's measured.
+// warmUp is the number of intervals before the measurement starts.
 const warmUp = 12
 
-// partsPerInterval is how many times skew is measured in a planning interval.
+// samplesPerInterval is the number of skew measurements per interval.
 const samplesPerInterval = 10
 
 const (
-	// planFrom is the skew from which on a plan is made, and goodEnough where it ends:
-	// the holder's on busy days.
+	// planThreshold is the skew from which a plan is made, and targetRatio the skew at which
+	// it is complete.
 	planThreshold = 1.2
 	targetRatio   = 1.12
-	// straggler is the rank that is slow for a while.
+	// straggler is the rank that is slow in the third quarter of a trace.
 	straggler = 3
 )
 
-// simulation is one policy at work on one trace.
+// simulation runs one policy on one trace.
 type simulation struct {
 	options   popularitytrace.Options
 	policy    planPolicy
@@ -75,7 +75,7 @@
 func runPolicy(o popularitytrace.Options, policy planPolicy) rebalanceRun {
 	placement, err := rebalance.NewPlacement(o.Shape)
 	if err != nil {
-		panic(err) // the shapes are ours
+		panic(err) // the shapes are constant
 	}
 	s := &simulation{options: o, policy: policy, placement: placement}
 	t := popularitytrace.New(o)
@@ -86,7 +86,7 @@
 	return s.run
 }
 
-// interval measures the skew in parts, and plans in each part whose skew asks for it.
+// interval measures the skew several times and plans whenever it exceeds planThreshold.
 func (s *simulation) interval(n int, truth, measured rebalance.Popularity, speeds []float64) {
 	for range samplesPerInterval {
 		skew := s.placement.Skew(truth, speeds)
@@ -105,7 +105,7 @@
 	}
 }
 
-// observe smooths what was measured.
+// observe adds a measurement to the moving average.
 func (s *simulation) observe(measured rebalance.Popularity) {
 	if s.estimate == nil {
 		s.estimate = rebalance.NewPopularity(s.options.Shape)
@@ -117,7 +117,8 @@
 	}
 }
 
-// speedsAt slows one rank to half its speed in the trace's third quarter.
+// speedsAt returns the ranks' speeds. The straggler has half its speed in the third quarter of
+// the trace; a negative number means none.
 func speedsAt(o popularitytrace.Options, straggler, interval int) []float64 {
 	speeds := make([]float64, o.Shape.Ranks)
 	for rank := range speeds {
@@ -129,7 +130,7 @@
 	return speeds
 }
 
-// Rebalance measures skew and loads at two sizes.
+// Rebalance measures skew, expert loads and planning time for groups of several sizes.
 func (r *Reporter) Rebalance() {
 	small := popularitytrace.Options{
 		Shape:     rebalance.Shape{Ranks: 16, Experts: 64, Layers: 8, Slots: 8},
@@ -148,15 +149,15 @@
 	r.measureDemandJumps()
 }
 
-// copyTime and switchTime are those of engines that copy slowly.
+// Times of engines that copy experts slowly.
 const (
 	copyTime   = 400 * time.Millisecond
 	switchTime = 300 * time.Millisecond
 )
 
-// afterJumps measures, for groups of several sizes whose engines copy slowly, how long a
-// plan takes after demand has jumped, and what skew it leaves, against one that brings
-// everything at once and takes as long as the rank that copies most.
+// measureDemandJumps measures, for groups whose engines copy slowly, the planning time after a
+// jump of the demand and the skew after the first plan. The baseline is a plan that ignores
+// the times for copies and switches.
 func (r *Reporter) measureDemandJumps() {
 	for _, shape := range []rebalance.Shape{
 		{Ranks: 12, Experts: 96, Layers: 3, Slots: 11},
@@ -168,21 +169,21 @@
 		popularity, _ := popularitytrace.New(popularitytrace.Options{Shape: shape, Intervals: 1, IntervalsPerDay: 1, ZipfExponent: 1.3, Seed: 7}).Next()
 		placement, err := rebalance.NewPlacement(shape)
 		if err != nil {
-			panic(err) // the shapes are ours
+			panic(err) // the shapes are constant
 		}
 		options := rebalance.Options{SkewWeight: 1, CostWeight: 1, MaxMoves: 1 << 20, MaxNewPerRank: 4, TargetRatio: targetRatio}
 		unstaged, _ := timedPlan(placement, popularity, options)
 		options.Timing = rebalance.Timing{Copy: copyTime, Switch: switchTime}
-		first, took := timedPlan(placement, popularity, options)
+		staged, took := timedPlan(placement, popularity, options)
 		speeds := speedsAt(popularitytrace.Options{Shape: shape}, -1, 0)
 		r.Figure(name+"/plan", took.Seconds()*1000, "ms")
 		r.Figure(name+"/skew-before", placement.Skew(popularity, speeds), "x")
-		r.Compare(name+"/skew-after", first.Skew(popularity, speeds), "x", unstaged.Skew(popularity, speeds))
-		r.Compare(name+"/copies-of-the-busiest", float64(placement.MaxLoads(first)), "experts", float64(placement.MaxLoads(unstaged)))
+		r.Compare(name+"/skew-after", staged.Skew(popularity, speeds), "x", unstaged.Skew(popularity, speeds))
+		r.Compare(name+"/copies-of-the-busiest", float64(placement.MaxLoads(staged)), "experts", float64(placement.MaxLoads(unstaged)))
 	}
 }
 
-// planAfter returns what a new planner makes of a placement, and how long it took.
+// timedPlan returns the result of a new planner for a placement, and the planning time.
 func timedPlan(placement *rebalance.Placement, popularity rebalance.Popularity, options rebalance.Options) (*rebalance.Placement, time.Duration) {
 	planner, next := rebalance.NewPlanner(placement.Shape), placement.Clone()
 	speeds := speedsAt(popularitytrace.Options{Shape: placement.Shape}, -1, 0)
@@ -209,7 +210,7 @@
 	}
 }
 
-// curve prints skew against loads over the price of a move.
+// measureCostCurve prints skew and expert loads for several cost weights.
 func (r *Reporter) measureCostCurve(name string, o popularitytrace.Options) {
 	planner := rebalance.NewPlanner(o.Shape)
 	for _, costWeight := range []float64{0.03, 0.06, 0.12, 0.25, 0.5, 1, 2, 4} {
@@ -219,12 +220,12 @@
 	}
 }
 
-// planningTime measures one plan in steady state and one from nothing.
+// measurePlanningTime measures the first plan and later plans in the steady state.
 func (r *Reporter) measurePlanningTime(o popularitytrace.Options) {
 	t := popularitytrace.New(o)
 	placement, err := rebalance.NewPlacement(o.Shape)
 	if err != nil {
-		panic(err) // the shapes are ours
+		panic(err) // the shapes are constant
 	}
 	speeds := speedsAt(o, -1, 0)
 	var before, after runtime.MemStats
--- a/standins/bench/recovery.go
+++ b/standins/bench/recovery.go
@@ -18,31 +18,29 @@
 )
 
 const (
-	// recoveryZones is over how many availability zones the entries are spread.
 	recoveryZones = 4
-	// recoveryPort is the first port of each entry, on a loopback address of its own.
+	// recoveryPort is the first port of each entry, which has its own loopback address.
 	recoveryPort = 31000
-	// recoveryAway is how long the store is away before it comes back.
+	// recoveryOutage is the duration of the outage before a restore.
 	recoveryOutage = 1500 * time.Millisecond
-	// recoveryPatience bounds the wait for a version at all entries.
+	// recoveryTimeout bounds the time until all entries apply a version.
 	recoveryTimeout = 30 * time.Second
-	// recoveryRounds is how often the store comes back.
-	recoveryRounds = 3
+	recoveryRounds  = 3
 )
 
-// recovery is a fleet of entries on a store that comes back from older copies.
+// recovery is a fleet of entries whose store is restored from a backup.
 type recovery struct {
 	store   *standin.Store
 	calls   atomic.Int64
 	version int64
 
 	mu sync.Mutex
-	// seen is when each entry put a version in force.
+	// appliedAt contains the times at which entries applied a version, by version.
 	appliedAt map[int64][]time.Time
 }
 
-// Recovery measures how long after the store's return from an older copy the newest
-// configuration is in force at each entry, and what that costs the store.
+// Recovery measures how fast all entries apply a new configuration after the store was
+// restored from a backup, and the calls to the store until then.
 func (r *Reporter) Recovery() error {
 	for _, entries := range []int{8, 32, 128} {
 		if err := r.recover(entries); err != nil {
@@ -66,7 +64,7 @@
 	defer stop()
 	for i := range entries {
 		daemon := platformdaemon.NewEntryDaemon(recoverySettings(i, server.Listener.Addr().String()), nil, f.newLog())
-		running.Go(func() { _ = daemon.Run(ctx) }) // an entry that ends is missed below
+		running.Go(func() { _ = daemon.Run(ctx) }) // awaitApplied fails if an entry exits
 	}
 	var times []float64
 	calls := 0.0
@@ -85,8 +83,8 @@
 	return nil
 }
 
-// round takes the store away and back from an older copy, and changes the configuration
-// at once. It returns how many milliseconds later the change was in force at each entry.
+// round takes the store down, restores it from a backup, and changes the configuration
+// immediately. It returns the times until each entry applied the change, in milliseconds.
 func (f *recovery) round(entries int) ([]float64, error) {
 	if err := f.awaitApplied(entries); err != nil {
 		return nil, err
@@ -116,13 +114,13 @@
 	return took, nil
 }
 
-// configure writes the next version of the configuration.
+// writeConfig writes the next version of the configuration.
 func (f *recovery) writeConfig() {
 	f.version++
 	f.store.Put(platform.TopicOperators, platform.Decoder{}.ConfigKey(), fmt.Sprintf(`{"version":%d}`, f.version))
 }
 
-// await waits until all entries have the newest version in force.
+// awaitApplied waits until all entries have applied the latest version.
 func (f *recovery) awaitApplied(entries int) error {
 	for end := time.Now().Add(recoveryTimeout); time.Now().Before(end); time.Sleep(time.Millisecond) {
 		f.mu.Lock()
@@ -132,10 +130,10 @@
 			return nil
 		}
 	}
-	return errors.Errorf("version %d isn't in force at all entries", f.version)
+	return errors.Errorf("version %d was not applied by all entries in time", f.version)
 }
 
-// log returns the log of an entry, which tells what it puts in force.
+// newLog returns a logger for an entry whose messages are observed by Fire.
 func (f *recovery) newLog() *logrus.Entry {
 	log := discardLog()
 	log.Logger.AddHook(f)
@@ -157,7 +155,7 @@
 	return nil
 }
 
-// recoverySettings are those of one of several entries.
+// recoverySettings returns the settings of the i-th entry.
 func recoverySettings(i int, store string) *platform.Settings {
 	ip := recoveryIP(i)
 	at := func(n int) string { return fmt.Sprintf("%s:%d", ip, recoveryPort+n) }
--- a/standins/bench/routing.go
+++ b/standins/bench/routing.go
@@ -14,7 +14,7 @@
 
 var simStart = time.Date(2026, 6, 1, 10, 0, 0, 0, time.UTC)
 
-// fleetOf returns n servers over zones, in the order that routes keep.
+// newServers returns n servers spread over zones, sorted by name as in routes.
 func newServers(n, zones int) []*selector.Server {
 	servers := make([]*selector.Server, 0, n)
 	for i := range n {
@@ -39,7 +39,7 @@
 	return table
 }
 
-// Routing measures decisions, and compares policies by waiting time.
+// Routing measures the cost of routing decisions and compares routing policies by latency.
 func (r *Reporter) Routing() {
 	base := 0.0
 	for _, n := range []int{24, 240, 2400} {
@@ -65,9 +65,8 @@
 	r.policies()
 }
 
-// policySim is a small queueing model of one service behind several entries
-// whose load reports are stale: each server runs slots requests at once, first
-// in, first out.
+// policySim is a queueing model of one service behind several entries with stale load
+// reports. Each server runs simSlots requests at a time and has a FIFO queue.
 type policySim struct {
 	servers   []simServer
 	random    *rand.Rand
@@ -81,9 +80,9 @@
 }
 
 type simServer struct {
-	ends   []time.Time // of running and waiting requests, in order of start
+	ends   []time.Time // end times of running and queued requests, sorted
 	cache  []uint64    // prefixes, most recently used last
-	factor float64     // service time over a healthy server's
+	factor float64     // of the service time, relative to a healthy server
 }
 
 const (
@@ -116,7 +115,7 @@
 	return s
 }
 
-// busy is the number of requests at a server now.
+// inProgress returns the number of running and queued requests at a server.
 func (s *policySim) inProgress(server int) int {
 	ends := s.servers[server].ends
 	for len(ends) > 0 && !ends[0].After(s.now) {
@@ -126,7 +125,7 @@
 	return len(ends)
 }
 
-// run sends requests; choose names the server.
+// run sends requests to the servers that choose returns.
 func (s *policySim) run(choose func(entry int, prefix uint64) int, countInFlight bool) {
 	mean := float64(simService+simMissCost/2) / simUtilization / (simServers * simSlots)
 	reported := s.now
@@ -194,7 +193,7 @@
 	return false
 }
 
-// load is what a stale report says of a server.
+// reportedLoad returns the number of requests at a server according to its last report.
 func (s *policySim) reportedLoad(entry, server int) int {
 	row := s.tables[entry].Row(s.fleet[server].Name)
 	return row.Reported.InFlight + row.Reported.Queued
