--- a/cmd/crowbridge/change.go
+++ b/cmd/crowbridge/change.go
@@ -18,11 +18,11 @@
 
 func changeFlags() []cli.Flag {
 	return []cli.Flag{
-		&cli.StringFlag{Name: "reason", Usage: "why, for the audit trail"},
-		&cli.StringFlag{Name: "command-id", Usage: "ID that makes a repeat idempotent; a new one by default"},
-		&cli.BoolFlag{Name: "dry-run", Usage: "check only, change nothing"},
-		&cli.IntFlag{Name: "wait", Usage: "wait until this many daemons that report to the entry have the change in force"},
-		&cli.BoolFlag{Name: "force", Usage: "don't check that the objects are unchanged since they were read"},
+		&cli.StringFlag{Name: "reason", Usage: "reason of the change, for the audit trail"},
+		&cli.StringFlag{Name: "command-id", Usage: "ID of the command, to retry it without a second effect; a new ID by default"},
+		&cli.BoolFlag{Name: "dry-run", Usage: "validate only, change nothing"},
+		&cli.IntFlag{Name: "wait", Usage: "wait until the change is in force at this many daemons: the entry and those that report to it"},
+		&cli.BoolFlag{Name: "force", Usage: "overwrite objects even if they have changed since they were read"},
 	}
 }
 
@@ -34,10 +34,10 @@
 		Action: func(ctx context.Context, cmd *cli.Command) error {
 			objects, err := readManifest(cmd.String("file"))
 			if err != nil {
-				return &verdictError{code: exitRejected, text: err.Error()}
+				return &commandError{code: exitRejected, text: err.Error()}
 			}
 			return call(ctx, cmd, func(ctx context.Context, api rpc.Operators) error {
-				changes, err := changesFor(ctx, api, objects, cmd.Bool("force"))
+				changes, err := newChanges(ctx, api, objects, cmd.Bool("force"))
 				if err != nil {
 					return err
 				}
@@ -61,9 +61,9 @@
 	return config.ParseManifest(data)
 }
 
-// changesFor reads the objects' present revisions, so that a racing change is
-// noticed.
-func changesFor(ctx context.Context, api rpc.Operators, objects []*config.Object, force bool) ([]*rpc.Change, error) {
+// newChanges returns changes that expect the objects' current revisions, so that concurrent changes
+// conflict.
+func newChanges(ctx context.Context, api rpc.Operators, objects []*config.Object, force bool) ([]*rpc.Change, error) {
 	current, err := currentObjects(ctx, api)
 	if err != nil {
 		return nil, err
@@ -111,16 +111,16 @@
 		CommandId: commandID, Reason: cmd.String("reason"), Changes: changes, DryRun: cmd.Bool("dry-run"),
 	})
 	if err != nil {
-		return errors.Wrapf(err, "command %s: unknown whether it took effect: ask again with --command-id %s", commandID, commandID)
+		return errors.Wrapf(err, "command %s: result unknown: retry with --command-id %s", commandID, commandID)
 	}
 	switch reply.Verdict {
 	case rpc.Verdict_VERDICT_ACCEPTED:
 		fmt.Printf("accepted: %d change(s) at offset %d (command %s) %s\n", len(changes), reply.Offset, commandID, reply.Reason)
 		return awaitDaemons(ctx, cmd, api, reply.Offset)
 	case rpc.Verdict_VERDICT_REJECTED:
-		return &verdictError{code: exitRejected, text: "rejected: " + reply.Reason}
+		return &commandError{code: exitRejected, text: "rejected: " + reply.Reason}
 	default:
-		return &verdictError{code: exitUnknown, text: fmt.Sprintf("unknown: command %s: %s", commandID, reply.Reason)}
+		return &commandError{code: exitUnknown, text: fmt.Sprintf("unknown: command %s: %s", commandID, reply.Reason)}
 	}
 }
 
@@ -150,7 +150,7 @@
 		Action: func(ctx context.Context, cmd *cli.Command) error {
 			name := cmd.Args().First()
 			if name == "" {
-				return errors.New("name the backend server")
+				return errors.New("backend server missing: use drain SERVER")
 			}
 			return call(ctx, cmd, func(ctx context.Context, api rpc.Operators) error {
 				current, err := currentObjects(ctx, api)
@@ -159,10 +159,10 @@
 				}
 				object := current[string(config.KindBackendServer)+"/"+name]
 				if object == nil {
-					return errors.Errorf("backend server %s doesn't exist", name)
+					return errors.Errorf("backend server %q doesn't exist", name)
 				}
 				object.BackendServer.Draining = !cmd.Bool("undo")
-				changes, err := changesFor(ctx, api, []*config.Object{object}, cmd.Bool("force"))
+				changes, err := newChanges(ctx, api, []*config.Object{object}, cmd.Bool("force"))
 				if err != nil {
 					return err
 				}
@@ -180,7 +180,7 @@
 		Action: func(ctx context.Context, cmd *cli.Command) error {
 			objects, err := readManifest(cmd.String("file"))
 			if err != nil {
-				return &verdictError{code: exitRejected, text: err.Error()}
+				return &commandError{code: exitRejected, text: err.Error()}
 			}
 			return call(ctx, cmd, func(ctx context.Context, api rpc.Operators) error {
 				current, err := currentObjects(ctx, api)
@@ -196,18 +196,20 @@
 	}
 }
 
+// describeChange returns the difference between two versions of an object.
 func describeChange(before, after *config.Object) string {
 	if before == nil {
 		return "+ " + after.ID()
 	}
-	unrevised := *before
-	unrevised.Revision = 0
-	if reflect.DeepEqual(&unrevised, after) {
+	unversioned := *before
+	unversioned.Revision = 0
+	if reflect.DeepEqual(&unversioned, after) {
 		return "= " + after.ID()
 	}
-	return "~ " + after.ID() + "\n  - " + compact(&unrevised) + "\n  + " + compact(after)
+	return "~ " + after.ID() + "\n  - " + compact(&unversioned) + "\n  + " + compact(after)
 }
 
+// compact returns an object as JSON.
 func compact(object *config.Object) string {
 	data, err := json.Marshal(object)
 	if err != nil {
@@ -218,7 +220,7 @@
 
 func keyCommand() *cli.Command {
 	return &cli.Command{
-		Name: "key", Usage: "make an API key or operator token and print its hash for the configuration",
+		Name: "key", Usage: "generate an API key or operator token and print it with its hash for the configuration",
 		Action: func(context.Context, *cli.Command) error {
 			key := uuid.NewString() + uuid.NewString()
 			fmt.Printf("key   %s\nhash  %s\n", key, daemon.HashSecret(key))
@@ -230,7 +232,7 @@
 func kindAndName(cmd *cli.Command) (kind, name string, err error) {
 	const arguments = 2
 	if cmd.Args().Len() != arguments {
-		return "", "", errors.Errorf("give KIND and NAME; kinds are %v", config.Kinds)
+		return "", "", errors.Errorf("want two arguments, KIND and NAME; kinds are %v", config.Kinds)
 	}
 	return cmd.Args().Get(0), cmd.Args().Get(1), nil
 }
--- a/cmd/crowbridge/client.go
+++ b/cmd/crowbridge/client.go
@@ -26,11 +26,11 @@
 	return http.DefaultTransport.RoundTrip(request)
 }
 
-// call runs f against the first entry that can be reached.
+// call runs f with the first entry that responds.
 func call(ctx context.Context, cmd *cli.Command, f func(context.Context, rpc.Operators) error) error {
 	entries := cmd.StringSlice("entry")
 	if len(entries) == 0 {
-		return errors.New("no entry given: use --entry IP:port or CROWBRIDGE_ENTRY")
+		return errors.New("no entry: set --entry IP:port or CROWBRIDGE_ENTRY")
 	}
 	client := &http.Client{Transport: tokenTransport{token: cmd.String("token")}, Timeout: callTimeout}
 	var last error
@@ -39,7 +39,7 @@
 			return errors.Errorf("--entry %q: use IP:port", address)
 		}
 		last = f(ctx, rpc.NewOperatorsProtobufClient("http://"+address, client))
-		if last == nil || answered(last) {
+		if last == nil || isEntryResponse(last) {
 			return last
 		}
 		last = errors.Wrapf(last, "entry %s", address)
@@ -47,10 +47,11 @@
 	return last
 }
 
-// answered tells an entry's answer from a failure to reach it.
-func answered(err error) bool {
-	var verdict *verdictError
-	if errors.As(err, &verdict) {
+// isEntryResponse reports whether an error is an entry's response instead of a failure to reach the
+// entry.
+func isEntryResponse(err error) bool {
+	var commandErr *commandError
+	if errors.As(err, &commandErr) {
 		return true
 	}
 	var failure twirp.Error
--- a/cmd/crowbridge/main.go
+++ b/cmd/crowbridge/main.go
@@ -13,22 +13,22 @@
 	"github.com/urfave/cli/v3"
 )
 
-// Exit codes that scripts can rely on.
+// Exit codes. Scripts may rely on them.
 const (
 	exitFailed   = 1
 	exitRejected = 2
 	exitUnknown  = 3
 )
 
-// verdictError carries the exit code of a command that reached the system but
-// wasn't accepted.
-type verdictError struct {
+// commandError is returned for a command that was rejected or whose result is unknown. It carries the
+// exit code.
+type commandError struct {
 	code int
 	text string
 }
 
 // Error implements error.
-func (e *verdictError) Error() string { return e.text }
+func (e *commandError) Error() string { return e.text }
 
 func main() {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
@@ -38,9 +38,9 @@
 		return
 	}
 	fmt.Fprintln(os.Stderr, "crowbridge:", err)
-	var verdict *verdictError
-	if errors.As(err, &verdict) {
-		os.Exit(verdict.code)
+	var commandErr *commandError
+	if errors.As(err, &commandErr) {
+		os.Exit(commandErr.code)
 	}
 	os.Exit(exitFailed)
 }
@@ -50,7 +50,7 @@
 		Name:    "crowbridge",
 		Version: buildinfo.String(),
 		Usage:   "administer a crowbridge deployment",
-		Description: `Exit codes: 0 done, 1 failed, 2 rejected, 3 unknown (ask again with the same --command-id).
+		Description: `Exit codes: 0 done, 1 failed, 2 rejected, 3 unknown (retry with the same --command-id).
 
 Examples:
   crowbridge apply -f customers.yaml --reason "new member"
@@ -60,9 +60,9 @@
 		EnableShellCompletion: true,
 		ExitErrHandler:        func(context.Context, *cli.Command, error) {},
 		Flags: []cli.Flag{
-			&cli.StringSliceFlag{Name: "entry", Usage: "IP:port of the control port of an entry; repeat for more, tried in turn", Sources: cli.EnvVars("CROWBRIDGE_ENTRY")},
+			&cli.StringSliceFlag{Name: "entry", Usage: "IP:port of an entry's control port; repeat for more entries, which are tried in order", Sources: cli.EnvVars("CROWBRIDGE_ENTRY")},
 			&cli.StringFlag{Name: "token", Usage: "operator token", Sources: cli.EnvVars("CROWBRIDGE_TOKEN")},
-			&cli.StringFlag{Name: "output", Aliases: []string{"o"}, Value: "table", Usage: "table, json or yaml"},
+			&cli.StringFlag{Name: "output", Aliases: []string{"o"}, Value: "table", Usage: "output format: table, json or yaml"},
 		},
 		Commands: []*cli.Command{
 			applyCommand(), diffCommand(), getCommand(), deleteCommand(), drainCommand(),
--- a/cmd/crowbridge/read.go
+++ b/cmd/crowbridge/read.go
@@ -23,8 +23,8 @@
 	outputYAML  = "yaml"
 )
 
-// printAs prints value as JSON or YAML, or calls table.
-func printAs(cmd *cli.Command, value any, table func(*tabwriter.Writer)) error {
+// printOutput prints value in the selected output format. For tables it calls table.
+func printOutput(cmd *cli.Command, value any, table func(*tabwriter.Writer)) error {
 	switch cmd.String("output") {
 	case outputTable:
 		w := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
@@ -33,14 +33,14 @@
 	case outputJSON:
 		data, err := json.MarshalIndent(value, "", "  ")
 		if err != nil {
-			return errors.Wrap(err, "print")
+			return errors.Wrap(err, "encode output")
 		}
 		fmt.Println(string(data))
 		return nil
 	case outputYAML:
 		data, err := yaml.Marshal(value)
 		if err != nil {
-			return errors.Wrap(err, "print")
+			return errors.Wrap(err, "encode output")
 		}
 		fmt.Print(string(data))
 		return nil
@@ -73,7 +73,7 @@
 	}
 }
 
-// printObjects prints YAML as a manifest that apply reads again.
+// printObjects prints objects. The YAML output is a manifest for apply.
 func printObjects(cmd *cli.Command, objects []*config.Object) error {
 	if cmd.String("output") == outputYAML {
 		for _, object := range objects {
@@ -86,7 +86,7 @@
 		}
 		return nil
 	}
-	return printAs(cmd, objects, func(w *tabwriter.Writer) {
+	return printOutput(cmd, objects, func(w *tabwriter.Writer) {
 		fmt.Fprintln(w, "KIND\tNAME\tREVISION\tLABELS")
 		for _, object := range objects {
 			fmt.Fprintf(w, "%s\t%s\t%d\t%s\n", object.Kind, object.Name, object.Revision, labelText(object.Labels))
@@ -118,20 +118,21 @@
 		for _, line := range reply.Entries {
 			var entry config.AuditEntry
 			if err := json.Unmarshal(line, &entry); err != nil {
-				return errors.Wrap(err, "audit entry")
+				return errors.Wrap(err, "decode audit entry")
 			}
 			entries = append(entries, entry)
 		}
-		if unfiltered(request) {
+		if isUnfiltered(request) {
 			if err := config.VerifyAudit(entries); err != nil {
 				return err
 			}
 		}
-		return printAs(cmd, entries, func(w *tabwriter.Writer) { auditTable(w, entries) })
+		return printOutput(cmd, entries, func(w *tabwriter.Writer) { auditTable(w, entries) })
 	})
 }
 
-func unfiltered(request *rpc.AuditRequest) bool { return request.Actor == "" && request.Object == "" }
+// isUnfiltered reports whether a request returns consecutive entries, whose hash chain can be verified.
+func isUnfiltered(request *rpc.AuditRequest) bool { return request.Actor == "" && request.Object == "" }
 
 func auditTable(w *tabwriter.Writer, entries []config.AuditEntry) {
 	fmt.Fprintln(w, "OFFSET\tTIME\tACTOR\tACTION\tOBJECTS\tVERDICT\tREASON")
@@ -147,12 +148,12 @@
 
 func auditCommand() *cli.Command {
 	return &cli.Command{
-		Name: "audit", Usage: "print who changed what, when and why; -o json prints JSON lines",
+		Name: "audit", Usage: "print the audit trail of changes; -o json prints JSON lines",
 		Flags: []cli.Flag{
-			&cli.StringFlag{Name: "actor", Usage: "only this operator or daemon"},
-			&cli.StringFlag{Name: "object", Usage: "only this object, as Kind/name"},
+			&cli.StringFlag{Name: "actor", Usage: "only entries of this operator or daemon"},
+			&cli.StringFlag{Name: "object", Usage: "only entries of this object, as Kind/name"},
 			&cli.Int64Flag{Name: "after", Value: config.NoOffset, Usage: "only entries after this offset"},
-			&cli.Int64Flag{Name: "limit", Usage: "only the newest so many; 0 prints all"},
+			&cli.Int64Flag{Name: "limit", Usage: "only this many of the newest entries; 0 prints all"},
 		},
 		Action: func(ctx context.Context, cmd *cli.Command) error {
 			return readAudit(ctx, cmd, &rpc.AuditRequest{
@@ -165,7 +166,7 @@
 
 func historyCommand() *cli.Command {
 	return &cli.Command{
-		Name: "history", Usage: "print what happened to one object",
+		Name: "history", Usage: "print the audit trail of one object",
 		UsageText: "crowbridge history KIND NAME",
 		Action: func(ctx context.Context, cmd *cli.Command) error {
 			kind, name, err := kindAndName(cmd)
@@ -186,7 +187,7 @@
 				if err != nil {
 					return err
 				}
-				return printAs(cmd, reply, func(w *tabwriter.Writer) { statusTable(w, reply) })
+				return printOutput(cmd, reply, func(w *tabwriter.Writer) { statusTable(w, reply) })
 			})
 		},
 	}
@@ -212,11 +213,11 @@
 
 func explainCommand() *cli.Command {
 	return &cli.Command{
-		Name: "explain", Usage: "tell which servers a request may go to, and why not the others",
+		Name: "explain", Usage: "print which servers a request may go to, and why not to the others",
 		UsageText: "crowbridge explain --customer NAME (--model MODEL | --path PATH)",
 		Flags: []cli.Flag{
 			&cli.StringFlag{Name: "customer", Required: true, Usage: "customer's name"},
-			&cli.StringFlag{Name: "model", Usage: "model asked for"},
+			&cli.StringFlag{Name: "model", Usage: "requested model"},
 			&cli.StringFlag{Name: "path", Usage: "path of a plain service"},
 		},
 		Action: func(ctx context.Context, cmd *cli.Command) error {
@@ -227,7 +228,7 @@
 				if err != nil {
 					return err
 				}
-				return printAs(cmd, reply, func(w *tabwriter.Writer) {
+				return printOutput(cmd, reply, func(w *tabwriter.Writer) {
 					fmt.Fprintf(w, "route\t%s\n", reply.Route)
 					for _, server := range reply.Servers {
 						fmt.Fprintf(w, "%s\t%t\t%s\n", server.Name, server.Eligible, server.Reason)
@@ -238,9 +239,9 @@
 	}
 }
 
-const waitPoll = 100 * time.Millisecond
+const statusPollInterval = 100 * time.Millisecond
 
-// awaitDaemons waits until enough daemons report the offset as in force.
+// awaitDaemons waits until as many daemons as --wait requires report the offset as in force.
 func awaitDaemons(ctx context.Context, cmd *cli.Command, api rpc.Operators, offset int64) error {
 	want := cmd.Int("wait")
 	if want == 0 {
@@ -251,22 +252,23 @@
 	for {
 		status, err := api.Status(ctx, &rpc.StatusRequest{})
 		if err != nil {
-			return errors.Wrap(err, "accepted, but not known where it is in force")
+			return errors.Wrap(err, "accepted, but failed to read the status of the daemons")
 		}
-		have := inForce(status, offset)
+		have := countInForce(status, offset)
 		if have >= want {
 			fmt.Printf("in force at %d daemons\n", have)
 			return nil
 		}
 		select {
 		case <-ctx.Done():
-			return errors.Errorf("accepted, but in force at %d daemons only, not %d", have, want)
-		case <-time.After(waitPoll):
+			return errors.Errorf("accepted, but in force at only %d daemons instead of %d", have, want)
+		case <-time.After(statusPollInterval):
 		}
 	}
 }
 
-func inForce(status *rpc.StatusReply, offset int64) int {
+// countInForce returns the number of daemons at which the offset is in force.
+func countInForce(status *rpc.StatusReply, offset int64) int {
 	have := 0
 	if status.Offset >= offset {
 		have++
--- a/cmd/crowbridged/agent.go
+++ b/cmd/crowbridged/agent.go
@@ -23,18 +23,18 @@
 func agentCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "agent",
-		Usage: "stand before one backend server: queue, start, refuse, account",
+		Usage: "run the proxy in front of one backend server: queue, admit and count its requests",
 		Flags: append(
 			commonFlags(),
 			stringFlag("server", "", "name of the backend server in the configuration"),
 			stringFlag("backend", "", "base URL of the backend server"),
 			stringFlag("protocol", string(config.ProtocolEngine), "engine or plain"),
-			intFlag("max-body", defaultMaxBody, "largest request body in bytes"),
-			intFlag("max-answer", defaultMaxAnswer, "largest unstreamed answer in bytes"),
-			stringFlag("store", "", "IP:port of the platform's store, for an engine that is a rank of a group; empty for others"),
-			intFlag("max-queued", 2000, "most waiting requests"),
-			intFlag("max-concurrency", 8, "most running requests"),
-			durationFlag("config-timeout", 3*time.Second, "how long the start waits for the configuration before it goes on with defaults"),
+			intFlag("max-body", defaultMaxBody, "maximum size of a request body, in bytes"),
+			intFlag("max-answer", defaultMaxResponse, "maximum size of a response that isn't streamed, in bytes"),
+			stringFlag("store", "", "IP:port of the platform's store, only for an engine that is a rank of a group"),
+			intFlag("max-queued", 2000, "maximum number of queued requests"),
+			intFlag("max-concurrency", 8, "maximum number of running requests"),
+			durationFlag("config-timeout", 3*time.Second, "maximum time to wait for the configuration at startup before using defaults"),
 		),
 		Action: runAgent,
 	}
@@ -61,7 +61,7 @@
 	}
 	peers := c.Peers("entry-peer", cmd.StringSlice("entry-peer"))
 	if len(peers) == 0 {
-		c.AddError("entry-peer", "", errors.New("name at least one entry"))
+		c.AddError("entry-peer", "", errors.New("set at least one entry"))
 	}
 	return peers, c.Err()
 }
@@ -80,22 +80,22 @@
 		return err
 	}
 	rep := replica.New(time.Now)
-	p.loop(func(ctx context.Context) { rep.Follow(ctx, agentSources(cmd, peers), p.log) })
+	p.runLoop(func(ctx context.Context) { rep.Follow(ctx, agentSources(cmd, peers), p.log) })
 	awaitConfiguration(ctx, cmd, rep, p.log)
 	a := agent.New(agent.Options{
 		Server: cmd.String("server"), Backend: cmd.String("backend"),
 		Protocol: config.Protocol(cmd.String("protocol")),
 		MaxBody:  int64(cmd.Int("max-body")), MaxResponse: int64(cmd.Int("max-answer")),
-		MaxQueued: cmd.Int("max-queued"), MaxConcurrency: concurrency(cmd, rep.View()),
+		MaxQueued: cmd.Int("max-queued"), MaxConcurrency: maxConcurrency(cmd, rep.View()),
 		Key: cmd.String("daemon-key"), SuspendAwareNow: clock.New(p.log).Now,
 	}, rep.View().Policy(), time.Now, p.log)
 	daemon.ExportOutcomeCounts(a.OutcomeCounts)
-	p.loop(func(ctx context.Context) { followConfiguration(ctx, cmd, a, rep) })
+	p.runLoop(func(ctx context.Context) { followConfiguration(ctx, cmd, a, rep) })
 	recorder := agent.NewRecorder(a, rep, entryAddresses(peers, cmd.String("zone")), daemon.NewControlClient(cmd.String("daemon-key")), p.log)
-	p.run(recorder.RecordStart)
+	p.runTask(recorder.RecordStart)
 	err = serveAgent(p, a, rep)
 	if err == nil && p.awaitStop() {
-		leave(p, a, recorder)
+		drainAgent(p, a, recorder)
 	}
 	if taskErr := p.finish(); err == nil {
 		err = taskErr
@@ -104,21 +104,20 @@
 	return err
 }
 
-// awaitConfiguration gives the first configuration a moment to arrive. An agent
-// that is cut off serves with defaults.
+// awaitConfiguration waits for the first configuration. After a timeout the agent uses defaults.
 func awaitConfiguration(ctx context.Context, cmd *cli.Command, rep *replica.Replica, log *logrus.Entry) {
 	ctx, cancel := context.WithTimeout(ctx, cmd.Duration("config-timeout"))
 	defer cancel()
 	if err := rep.Wait(ctx, func() bool { return rep.View().Position.HasRecord() }); err != nil {
-		log.WithError(err).Warn("no configuration yet; going on with defaults")
+		log.WithError(err).Warn("no configuration received in time: using defaults")
 	}
 }
 
-// followConfiguration brings each change into force at the agent.
+// followConfiguration applies each configuration change to the agent.
 func followConfiguration(ctx context.Context, cmd *cli.Command, a *agent.Agent, rep *replica.Replica) {
 	for {
 		changed := rep.Changed()
-		a.Configure(configuration(cmd, rep.View()))
+		a.Configure(agentConfiguration(cmd, rep.View()))
 		select {
 		case <-changed:
 		case <-ctx.Done():
@@ -127,9 +126,9 @@
 	}
 }
 
-// configuration returns what a view says for this agent.
-func configuration(cmd *cli.Command, view *config.View) agent.Configuration {
-	c := agent.Configuration{Policy: view.Policy(), MaxConcurrency: concurrency(cmd, view)}
+// agentConfiguration returns this agent's part of the configuration.
+func agentConfiguration(cmd *cli.Command, view *config.View) agent.Configuration {
+	c := agent.Configuration{Policy: view.Policy(), MaxConcurrency: maxConcurrency(cmd, view)}
 	if server := view.Get(config.KindBackendServer, cmd.String("server")); server != nil {
 		c.HomesChange = view.HomesChange(server.BackendServer.Service)
 		c.Draining = server.BackendServer.Draining
@@ -137,8 +136,8 @@
 	return c
 }
 
-// concurrency returns the bound from the server's service, or the flag's.
-func concurrency(cmd *cli.Command, view *config.View) int {
+// maxConcurrency returns the limit of the server's service, or else that of the flag.
+func maxConcurrency(cmd *cli.Command, view *config.View) int {
 	server := view.Get(config.KindBackendServer, cmd.String("server"))
 	if server == nil {
 		return cmd.Int("max-concurrency")
@@ -150,6 +149,7 @@
 	return service.Service.MaxConcurrency
 }
 
+// serveAgent starts the agent's servers.
 func serveAgent(p *process, a *agent.Agent, rep *replica.Replica) error {
 	rank, err := newRank(p, rep)
 	if err != nil {
@@ -165,20 +165,20 @@
 	if err := p.serve("listen", a); err != nil {
 		return err
 	}
-	p.log.WithField("listen", p.cmd.String("listen")).Info("agent serves")
+	p.log.WithField("listen", p.cmd.String("listen")).Info("agent started")
 	return nil
 }
 
-// leave refuses new work, waits for the requests in flight, and hands the key
-// table over.
-func leave(p *process, a *agent.Agent, recorder *agent.Recorder) {
+// drainAgent rejects new requests, waits for those in flight, and records the table of idempotency
+// keys for the next incarnation.
+func drainAgent(p *process, a *agent.Agent, recorder *agent.Recorder) {
 	timer := time.NewTimer(p.cmd.Duration("drain-timeout"))
 	defer timer.Stop()
 	select {
 	case <-a.Leave():
 		recorder.Seal(p.tasks)
 	case <-timer.C:
-		p.log.Warn("drain timeout: requests in flight are cut off")
+		p.log.Warn("drain timeout: canceling requests in flight")
 	}
 }
 
@@ -195,7 +195,7 @@
 	return mux
 }
 
-// entryAddresses returns the entries' control addresses, the own zone's first.
+// entryAddresses returns the entries' control addresses, those of this zone first.
 func entryAddresses(peers []settings.Peer, zone string) []string {
 	var own, others []string
 	for _, peer := range peers {
@@ -208,8 +208,8 @@
 	return append(own, others...)
 }
 
-// agentSources orders the entries an agent reads from: its own zone's first,
-// beginning at one that differs by agent.
+// agentSources returns the entries that an agent may read the configuration from, those of its zone
+// first. The order within each part depends on the agent's name, to spread the load.
 func agentSources(cmd *cli.Command, peers []settings.Peer) []replica.Source {
 	name := cmd.String("server")
 	client := daemon.NewControlClient(cmd.String("daemon-key"))
--- a/cmd/crowbridged/entry.go
+++ b/cmd/crowbridged/entry.go
@@ -21,31 +21,31 @@
 )
 
 const (
-	defaultMaxBody   = 8 << 20
-	defaultMaxAnswer = 16 << 20
+	defaultMaxBody     = 8 << 20
+	defaultMaxResponse = 16 << 20
 )
 
 func entryCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "entry",
-		Usage: "serve callers: authenticate, route, answer",
+		Usage: "serve callers: authenticate and route their requests",
 		Flags: append(
 			commonFlags(),
-			stringFlag("name", "", "name of this daemon, unique in the deployment"),
-			stringFlag("store", "", "IP:port of the platform's store: the log of configuration and the list of servers"),
+			stringFlag("name", "", "unique name of this daemon"),
+			stringFlag("store", "", "IP:port of the platform's store, which contains the configuration log and the server list"),
 			operatorFlag(),
-			intFlag("max-body", defaultMaxBody, "largest request body in bytes"),
-			intFlag("max-answer", defaultMaxAnswer, "largest unstreamed answer in bytes"),
-			intFlag("max-concurrent", 20000, "most requests in flight"),
-			durationFlag("config-timeout", 3*time.Second, "how long the start waits for the configuration before callers are let in"),
-			intFlag("reports-per-second", 30, "load reports asked of agents per second"),
+			intFlag("max-body", defaultMaxBody, "maximum size of a request body, in bytes"),
+			intFlag("max-answer", defaultMaxResponse, "maximum size of a response that isn't streamed, in bytes"),
+			intFlag("max-concurrent", 20000, "maximum number of requests in flight"),
+			durationFlag("config-timeout", 3*time.Second, "maximum time to wait for the configuration at startup before serving callers"),
+			intFlag("reports-per-second", 30, "load reports requested from agents per second"),
 		),
 		Action: runEntry,
 	}
 }
 
 func operatorFlag() cli.Flag {
-	return listFlag("operator", "name:role:sha256-of-token of an operator; role is read or change; repeat for each")
+	return listFlag("operator", "name:role:sha256-of-token of an operator, with role read or change; repeat for each operator")
 }
 
 func parseOperators(cmd *cli.Command) ([]daemon.Operator, error) {
@@ -115,12 +115,11 @@
 	return err
 }
 
-// leaveDelay is how long a stopping entry goes on answering on open connections,
-// each of which ends with its next answer: busy callers use theirs several times in it.
+// leaveDelay is how long a stopping entry still accepts requests. Each connection closes after its
+// next response, so that busy callers move to other entries without an error.
 const leaveDelay = 500 * time.Millisecond
 
-// stopEntry finishes the requests in flight; when a task has failed, it closes
-// at once.
+// stopEntry waits for the requests in flight. If a task has failed, it stops immediately.
 func stopEntry(p *process, e *entry.Entry) error {
 	ctx, cancel := context.WithTimeout(p.tasks, p.cmd.Duration("drain-timeout"))
 	defer cancel()
@@ -129,6 +128,7 @@
 	return e.Stop(ctx)
 }
 
+// serveEntry starts the entry's servers and tasks.
 func serveEntry(p *process, s *entrySettings, e *entry.Entry, rep *replica.Replica) error {
 	key := p.cmd.String("daemon-key")
 	store := platform.NewStore(p.cmd.String("store"), upstream.NewTransport())
@@ -145,34 +145,34 @@
 	if err := p.serve("metrics", daemon.MetricsHandler(e.Ready, p.log.Logger)); err != nil {
 		return err
 	}
-	p.loop(func(ctx context.Context) { rep.Follow(ctx, entrySources(p.cmd, s, log), p.log) })
-	p.loop(e.WatchConfiguration)
-	p.loop(func(ctx context.Context) {
+	p.runLoop(func(ctx context.Context) { rep.Follow(ctx, entrySources(p.cmd, s, log), p.log) })
+	p.runLoop(e.WatchConfiguration)
+	p.runLoop(func(ctx context.Context) {
 		e.CrashDetector().Gossip(ctx, otherEntries(p.cmd, s), daemon.NewControlClient(key))
 	})
-	p.loop(crash.NewStore(e.CrashDetector(), rep, log, p.cmd.String("name"), time.Now).Run)
-	p.run(e.PollAgents)
-	p.loop(func(ctx context.Context) { e.PollVMList(ctx, store) })
+	p.runLoop(crash.NewStore(e.CrashDetector(), rep, log, p.cmd.String("name"), time.Now).Run)
+	p.runTask(e.PollAgents)
+	p.runLoop(func(ctx context.Context) { e.PollVMList(ctx, store) })
 	if readsLog(p.cmd, s) {
-		p.loop(func(ctx context.Context) { rep.PersistSnapshots(ctx, log, p.log) })
+		p.runLoop(func(ctx context.Context) { rep.PersistSnapshots(ctx, log, p.log) })
 	}
-	awaitFirstNews(p.asked, p.cmd.Duration("config-timeout"), rep)
+	awaitReplicaSync(p.stopRequested, p.cmd.Duration("config-timeout"), rep)
 	callers, err := p.listen("listen")
 	if err != nil {
 		return err
 	}
 	p.group.Go(func() error { return e.Serve(callers) })
-	p.log.WithField("listen", callers.Addr().String()).Info("entry serves")
+	p.log.WithField("listen", callers.Addr().String()).Info("entry started")
 	return nil
 }
 
-// awaitFirstNews waits until the replica has a configuration, or has heard that
-// there is none yet, so that a replaced entry refuses nobody for want of one.
-func awaitFirstNews(ctx context.Context, timeout time.Duration, rep *replica.Replica) {
-	const poll = 10 * time.Millisecond
+// awaitReplicaSync waits until the replica has a configuration or knows that there is none yet, so
+// that a restarted entry doesn't reject requests for lack of one.
+func awaitReplicaSync(ctx context.Context, timeout time.Duration, rep *replica.Replica) {
+	const pollInterval = 10 * time.Millisecond
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	ticker := time.NewTicker(poll)
+	ticker := time.NewTicker(pollInterval)
 	defer ticker.Stop()
 	for !rep.View().Position.HasRecord() && !rep.HasSynced() {
 		select {
@@ -183,17 +183,17 @@
 	}
 }
 
-func controlHandler(key string, api *admin.Admin, rep *replica.Replica, log replica.Log, watch *crash.Detector) http.Handler {
+func controlHandler(key string, api *admin.Admin, rep *replica.Replica, log replica.Log, detector *crash.Detector) http.Handler {
 	peers := rpc.NewPeersServer(&replica.PeerServer{Replica: rep, Log: log, OnPeerPosition: api.RecordPeerOffset})
 	mux := http.NewServeMux()
 	mux.Handle(peers.PathPrefix(), daemon.RequireKey(key, peers))
-	crashes := peerrpc.NewCrashesServer(crash.RPCServer{Detector: watch})
+	crashes := peerrpc.NewCrashesServer(crash.RPCServer{Detector: detector})
 	mux.Handle(crashes.PathPrefix(), daemon.RequireKey(key, crashes))
 	mux.Handle(api.PathPrefix(), api.Handler())
 	return mux
 }
 
-// otherEntries are the control addresses of all entries but this one.
+// otherEntries returns the control addresses of all other entries.
 func otherEntries(cmd *cli.Command, s *entrySettings) []string {
 	var others []string
 	for _, peer := range s.peers {
@@ -204,38 +204,38 @@
 	return others
 }
 
-// ownZone returns the entries of this entry's zone, and its own place among them.
-func ownZone(cmd *cli.Command, s *entrySettings) (own []settings.Peer, place int) {
+// zoneEntries returns the entries of this entry's zone and the index of this entry among them.
+func zoneEntries(cmd *cli.Command, s *entrySettings) (own []settings.Peer, index int) {
 	for _, peer := range s.peers {
 		if peer.Zone != cmd.String("zone") {
 			continue
 		}
 		if peer.Address == cmd.String("control") {
-			place = len(own)
+			index = len(own)
 		}
 		own = append(own, peer)
 	}
-	return own, place
+	return own, index
 }
 
-// readsLog tells whether this entry is among those that read the log themselves;
-// these also keep the state on the store.
+// readsLog reports whether this entry reads the log itself instead of from another entry. Such entries
+// also persist snapshots.
 func readsLog(cmd *cli.Command, s *entrySettings) bool {
-	_, place := ownZone(cmd, s)
-	_, child := replica.Parent(place)
+	_, index := zoneEntries(cmd, s)
+	_, child := replica.Parent(index)
 	return !child
 }
 
-// entrySources orders where an entry reads from. The first entries of a zone
-// read the log; each other one reads from its parent in the zone's tree. All
-// fall back on the rest of the zone, the log, and the other zones.
+// entrySources returns the sources of an entry's configuration in order of preference. The first
+// entries of a zone read the log; the others read from their parent in the zone's tree. All fall back
+// to the other entries of the zone, the log, and the entries of other zones.
 func entrySources(cmd *cli.Command, s *entrySettings, log replica.Log) []replica.Source {
 	self := cmd.String("control")
 	client := daemon.NewControlClient(cmd.String("daemon-key"))
 	source := func(peer settings.Peer) replica.Source {
 		return replica.NewPeerSource(peer.Address, cmd.String("name"), client)
 	}
-	own, place := ownZone(cmd, s)
+	own, index := zoneEntries(cmd, s)
 	var others []replica.Source
 	for _, peer := range s.peers {
 		if peer.Zone != cmd.String("zone") {
@@ -244,7 +244,7 @@
 	}
 	fromLog := replica.LogSource{Log: log}
 	var sources []replica.Source
-	parent, child := replica.Parent(place)
+	parent, child := replica.Parent(index)
 	if child {
 		sources = append(sources, source(own[parent]))
 	} else {
--- a/cmd/crowbridged/flags.go
+++ b/cmd/crowbridged/flags.go
@@ -26,10 +26,10 @@
 	return &cli.DurationFlag{Name: name, Value: value, Usage: usage, Sources: cli.EnvVars(settings.EnvName(name))}
 }
 
-// secretFlags are never printed.
+// secretFlags are flags whose values printSettings hides.
 var secretFlags = map[string]bool{"daemon-key": true, "operator": true}
 
-// printSettings prints the settings in force, secrets hidden.
+// printSettings prints the settings in force without secrets.
 func printSettings(w io.Writer, cmd *cli.Command) {
 	for _, flag := range cmd.Flags {
 		name := flag.Names()[0]
@@ -40,7 +40,7 @@
 		if secretFlags[name] && strings.Trim(value, "[]") != "" {
 			value = "(hidden)"
 		}
-		_, _ = fmt.Fprintf(w, "%s=%s\n", name, value) // a closed pipe ends the output
+		_, _ = fmt.Fprintf(w, "%s=%s\n", name, value)
 	}
 }
 
@@ -51,9 +51,9 @@
 		stringFlag("control", "", "IP:port for calls from other daemons and operators"),
 		stringFlag("metrics", "", "IP:port for /metrics, /healthz, /readyz and /loglevel"),
 		stringFlag("daemon-key", "", "secret shared by the daemons"),
-		listFlag("entry-peer", "zone=IP:port of the control port of an entry; repeat for each"),
+		listFlag("entry-peer", "zone=IP:port of an entry's control port; repeat for each entry"),
 		stringFlag("log-level", "info", "error, warn, info or debug"),
-		durationFlag("drain-timeout", 2*time.Minute, "how long a planned stop waits for requests in flight"),
+		durationFlag("drain-timeout", 2*time.Minute, "maximum time that a planned stop waits for requests in flight"),
 		&cli.BoolFlag{Name: "check", Usage: "print the settings in force and exit"},
 	}
 }
--- a/cmd/crowbridged/main.go
+++ b/cmd/crowbridged/main.go
@@ -1,5 +1,5 @@
-// Command crowbridged is the daemon: `entry` serves callers on an entry VM,
-// `agent` stands before one backend server.
+// Command crowbridged runs crowbridge's daemons: `entry` serves callers on an entry VM, `agent` is the
+// proxy in front of one backend server.
 package main
 
 import (
@@ -21,7 +21,7 @@
 		Version:               buildinfo.String(),
 		Usage:                 "load balancer daemon for expert-parallel model groups",
 		EnableShellCompletion: true,
-		Commands:              []*cli.Command{entryCommand(), agentCommand(), hostedEntryCommand(), hostedAgentCommand()},
+		Commands:              []*cli.Command{entryCommand(), agentCommand(), platformEntryCommand(), platformAgentCommand()},
 	}
 	if err := app.Run(ctx, os.Args); err != nil {
 		fmt.Fprintln(os.Stderr, "crowbridged:", err)
--- a/cmd/crowbridged/hosted.go
+++ b/cmd/crowbridged/platform.go
@@ -11,13 +11,13 @@
 	"github.com/urfave/cli/v3"
 )
 
-// runner is a daemon on the users' platform.
+// runner is a daemon for the users' platform.
 type runner interface {
 	Run(ctx context.Context) error
 }
 
-// hostedCommand runs a daemon by the platform's settings file.
-func hostedCommand(name, usage string, build func(*cli.Command, *platform.Settings, *logrus.Entry) (runner, error), flags ...cli.Flag) *cli.Command {
+// platformCommand returns a command that runs a daemon configured by the platform's settings file.
+func platformCommand(name, usage string, build func(*cli.Command, *platform.Settings, *logrus.Entry) (runner, error), flags ...cli.Flag) *cli.Command {
 	return &cli.Command{
 		Name:  name,
 		Usage: usage,
@@ -43,16 +43,16 @@
 	}
 }
 
-func hostedEntryCommand() *cli.Command {
-	return hostedCommand("hosted-entry", "serve callers on the users' platform",
+func platformEntryCommand() *cli.Command {
+	return platformCommand("hosted-entry", "serve callers on the users' platform",
 		func(cmd *cli.Command, s *platform.Settings, log *logrus.Entry) (runner, error) {
 			operators, err := parseOperators(cmd)
 			return platformdaemon.NewEntryDaemon(s, operators, log), err
 		}, operatorFlag())
 }
 
-func hostedAgentCommand() *cli.Command {
-	return hostedCommand("hosted-agent", "stand beside a model engine on the users' platform",
+func platformAgentCommand() *cli.Command {
+	return platformCommand("hosted-agent", "run the agent of a model engine on the users' platform",
 		func(_ *cli.Command, s *platform.Settings, log *logrus.Entry) (runner, error) {
 			return platformdaemon.NewAgentDaemon(s, log), nil
 		})
--- a/cmd/crowbridged/process.go
+++ b/cmd/crowbridged/process.go
@@ -12,14 +12,14 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// process is what both roles have in common: its tasks run until one fails or
-// the process has finished its planned stop, which a signal begins.
+// process manages the tasks of a daemon. They run until one of them fails or until the planned stop,
+// which starts with a signal, is complete.
 type process struct {
 	cmd *cli.Command
 	log *logrus.Entry
-	// asked ends when the operating system asks the process to stop.
-	asked context.Context
-	// tasks ends when the process's tasks have to.
+	// stopRequested ends when a signal requests a planned stop.
+	stopRequested context.Context
+	// tasks is the context of the tasks. It ends when a task fails or the process finishes.
 	tasks context.Context
 	end   context.CancelFunc
 	group *errgroup.Group
@@ -31,60 +31,60 @@
 		return nil, err
 	}
 	p := &process{
-		cmd: cmd, asked: ctx,
+		cmd: cmd, stopRequested: ctx,
 		log: logger.WithFields(logrus.Fields{"daemon": name, "zone": cmd.String("zone")}),
 	}
-	// Tasks outlive the signal: requests in flight need them.
+	// Requests in flight need the tasks after the signal.
 	tasks, end := context.WithCancel(context.WithoutCancel(ctx))
 	p.end = end
 	p.group, p.tasks = errgroup.WithContext(tasks)
 	return p, nil
 }
 
-// run starts a task that ends with the process.
-func (p *process) run(task func(context.Context) error) {
+// runTask starts a task.
+func (p *process) runTask(task func(context.Context) error) {
 	p.group.Go(func() error { return task(p.tasks) })
 }
 
-// loop starts a task that can't fail.
-func (p *process) loop(task func(context.Context)) {
-	p.run(func(ctx context.Context) error {
+// runLoop starts a task that can't fail.
+func (p *process) runLoop(task func(context.Context)) {
+	p.runTask(func(ctx context.Context) error {
 		task(ctx)
 		return nil
 	})
 }
 
+// listen listens at the address in a setting.
 func (p *process) listen(setting string) (net.Listener, error) {
 	return daemon.Listen(setting, p.cmd.String(setting))
 }
 
-// closeGrace is how long a server waits for calls in flight once requests are
-// done.
+// closeGrace is how long an HTTP server waits for calls in flight after its tasks' context has ended.
 const closeGrace = time.Second
 
-// serve answers on the port that a setting names.
+// serve starts an HTTP server at the address in a setting.
 func (p *process) serve(setting string, handler http.Handler) error {
 	listener, err := p.listen(setting)
 	if err != nil {
 		return err
 	}
-	p.run(func(ctx context.Context) error { return daemon.ServeHTTP(ctx, listener, handler, closeGrace) })
+	p.runTask(func(ctx context.Context) error { return daemon.ServeHTTP(ctx, listener, handler, closeGrace) })
 	return nil
 }
 
-// awaitStop blocks until the process is asked to stop, or a task has failed; it
-// returns whether requests in flight are to be finished.
+// awaitStop blocks until a planned stop is requested or a task has failed. It reports whether it was
+// a planned stop, in which requests in flight may finish.
 func (p *process) awaitStop() bool {
 	select {
-	case <-p.asked.Done():
-		p.log.Info("planned stop: finishing the requests in flight")
+	case <-p.stopRequested.Done():
+		p.log.Info("planned stop: waiting for requests in flight")
 		return true
 	case <-p.tasks.Done():
 		return false
 	}
 }
 
-// finish ends the tasks and returns the first error of any.
+// finish stops the tasks and returns the first error of one.
 func (p *process) finish() error {
 	p.end()
 	return p.group.Wait()
--- a/cmd/crowbridged/rank.go
+++ b/cmd/crowbridged/rank.go
@@ -19,17 +19,18 @@
 )
 
 const (
-	// rankPace is the time between an agent's own looks at its engine, and
-	// rankTimeout bounds one: the engine is on the same VM.
-	rankPace    = 120 * time.Millisecond
-	rankTimeout = 200 * time.Millisecond
-	// countRoom is how many bytes of counts a holder may ask for in a second: a
-	// quarter of a link of 20 Mbit/s, the smallest that users have.
-	countRoom = 0.25 * 20e6 / 8
+	// reportInterval is the time between an agent's reads of the state of its engine, which is on the
+	// same VM.
+	reportInterval = 120 * time.Millisecond
+	// reportTimeout limits one read.
+	reportTimeout = 200 * time.Millisecond
+	// countsBandwidth is the bandwidth for expert counts that a lease holder may use, in bytes per
+	// second: a quarter of the smallest link, 20 Mbit/s.
+	countsBandwidth = 0.25 * 20e6 / 8
 )
 
-// newRank returns the service of an engine that is a rank of a group, or nil
-// without a store. Its agent claims the group's lease when no other agent holds it.
+// newRank returns the service for an engine that is a rank of a group, or nil without a store. It
+// starts the tasks of the rank, which claims the group's lease when no other agent holds it.
 func newRank(p *process, rep *replica.Replica) (*ranks.Service, error) {
 	address := p.cmd.String("store")
 	if address == "" {
@@ -37,37 +38,37 @@
 	}
 	backend, err := url.Parse(p.cmd.String("backend"))
 	if err != nil {
-		return nil, errors.Wrap(err, "backend")
+		return nil, errors.Wrap(err, "setting backend")
 	}
 	store := platform.NewStore(address, upstream.NewTransport())
 	daemon.MonitorEra(store.Eras(), p.log)
 	engines := platform.NewEngineClient(upstream.NewTransport())
 	rank := experts.NewAgent(engines, backend.Host, time.Now, p.log)
-	trail := group.NewAuditTrail(p.cmd.String("server"), platform.ConfigLog{Store: store, Now: time.Now}, p.log)
-	options := ranks.Options{Daemon: p.cmd.String("server"), CountsBandwidth: countRoom, AuditTrail: trail}
-	key, ip := p.cmd.String("daemon-key"), netip.MustParseAddrPort(p.cmd.String("control")).Addr() // checked with the settings
+	auditTrail := group.NewAuditTrail(p.cmd.String("server"), platform.ConfigLog{Store: store, Now: time.Now}, p.log)
+	options := ranks.Options{Daemon: p.cmd.String("server"), CountsBandwidth: countsBandwidth, AuditTrail: auditTrail}
+	key, ip := p.cmd.String("daemon-key"), netip.MustParseAddrPort(p.cmd.String("control")).Addr() // validated by checkAgent
 	datagrams, err := net.ListenPacket("udp4", p.cmd.String("control"))
 	if err != nil {
-		return nil, errors.Wrap(err, "control")
+		return nil, errors.Wrap(err, "setting control")
 	}
 	options.IP, options.Key = ip.String(), key
 	control := daemon.NewControlClient(key)
 	leader := ranks.NewLeader(options, rank, engines, group.Directory{Replica: rep}, store, control, p.log)
 	service := ranks.NewService(rank)
-	p.run(func(ctx context.Context) error { return ranks.Serve(ctx, datagrams, service, key, p.log) })
-	p.loop(func(ctx context.Context) { watchEngine(ctx, rank) })
-	p.loop(trail.Run)
-	p.loop(leader.Run)
+	p.runTask(func(ctx context.Context) error { return ranks.Serve(ctx, datagrams, service, key, p.log) })
+	p.runLoop(func(ctx context.Context) { refreshReports(ctx, rank) })
+	p.runLoop(auditTrail.Run)
+	p.runLoop(leader.Run)
 	return service, nil
 }
 
-// watchEngine keeps the agent's report of its engine fresh. One that can't be
-// reached shows in the holder's log.
-func watchEngine(ctx context.Context, rank *experts.Agent) {
+// refreshReports regularly reads the engine's state. It ignores errors: the lease holder logs
+// unreachable engines.
+func refreshReports(ctx context.Context, rank *experts.Agent) {
 	for ctx.Err() == nil {
-		asking, cancel := context.WithTimeout(ctx, rankTimeout)
-		_, _ = rank.RefreshReport(asking)
+		reportCtx, cancel := context.WithTimeout(ctx, reportTimeout)
+		_, _ = rank.RefreshReport(reportCtx)
 		cancel()
-		wait.For(ctx, rankPace)
+		wait.For(ctx, reportInterval)
 	}
 }
