--- a/internal/admission/queue.go
+++ b/internal/admission/queue.go
@@ -227,7 +227,7 @@
 	q.classes[priorityOf(item.request.Class)].remove(item)
 }
 
-// NextDeadline returns the earliest deadline of the waiting requests.
+// NextDeadline returns the earliest deadline of the waiting requests, and whether any waits.
 func (q *Queue) NextDeadline() (time.Time, bool) {
 	var earliest time.Time
 	for _, class := range q.classes {
--- a/internal/crash/detector_test.go
+++ b/internal/crash/detector_test.go
@@ -151,7 +151,7 @@
 		Expect(published()).To(BeEmpty())
 	})
 
-	It("is no evidence against the request when it was leaving or has left", func() {
+	It("is no evidence against the request when it is leaving or no longer registered", func() {
 		detector.RecordConnectionLoss(d, quarantine.RequestInfo{Customer: "c", Path: "/"}, leavingServer)
 		detector.UpdateRegistry(registry(serverB))
 		detector.RecordConnectionLoss(d, quarantine.RequestInfo{Customer: "c", Path: "/"}, serverB)
--- a/internal/dispatch/balancer.go
+++ b/internal/dispatch/balancer.go
@@ -158,11 +158,11 @@
 	}
 }
 
-func (b *Balancer) state(id string) *serverState {
-	s := b.states[id]
+func (b *Balancer) state(key string) *serverState {
+	s := b.states[key]
 	if s == nil {
 		s = &serverState{}
-		b.states[id] = s
+		b.states[key] = s
 	}
 	return s
 }
@@ -209,11 +209,11 @@
 }
 
 // ServerStatus returns the status of a server.
-func (b *Balancer) ServerStatus(id string, now time.Time) ServerStatus {
+func (b *Balancer) ServerStatus(key string, now time.Time) ServerStatus {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	limit := b.limits.Status(id, now)
-	s := b.states[id]
+	limit := b.limits.Status(key, now)
+	s := b.states[key]
 	if s == nil {
 		return ServerStatus{Limit: limit}
 	}
@@ -225,10 +225,10 @@
 }
 
 // UpdateLoad records a server's load as of a time. Older reports are ignored.
-func (b *Balancer) UpdateLoad(id string, load Load, at time.Time) {
+func (b *Balancer) UpdateLoad(key string, load Load, at time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	s := b.state(id)
+	s := b.state(key)
 	if at.Before(s.reportedAt) {
 		return
 	}
@@ -272,10 +272,10 @@
 }
 
 // RequestSent implements Chooser.
-func (b *Balancer) RequestSent(id string, request *Request, now time.Time) {
+func (b *Balancer) RequestSent(key string, request *Request, now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	s := b.state(id)
+	s := b.state(key)
 	s.inFlight++
 	s.sentAt[s.nextSend%recentSends] = now
 	s.nextSend++
@@ -286,18 +286,18 @@
 }
 
 // ResponseStarted implements Chooser.
-func (b *Balancer) ResponseStarted(id string, request *Request) {
+func (b *Balancer) ResponseStarted(key string, request *Request) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	s := b.state(id)
+	s := b.state(key)
 	s.unreadTokens = max(s.unreadTokens-request.PromptTokens, 0)
 }
 
 // RequestEnded implements Chooser.
-func (b *Balancer) RequestEnded(id string, request *Request) {
+func (b *Balancer) RequestEnded(key string, request *Request) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	s := b.state(id)
+	s := b.state(key)
 	s.inFlight = max(s.inFlight-1, 0)
 	if request.Suspect {
 		s.suspectsInFlight = max(s.suspectsInFlight-1, 0)
@@ -313,19 +313,19 @@
 )
 
 // RecordFailure implements Chooser.
-func (b *Balancer) RecordFailure(id string, now time.Time) {
+func (b *Balancer) RecordFailure(key string, now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	s := b.state(id)
+	s := b.state(key)
 	s.consecutiveFailures++
 	s.backoffUntil = now.Add(min(minBackoff<<min(s.consecutiveFailures-1, 4), maxBackoff))
 }
 
 // RecordSuccess implements Chooser.
-func (b *Balancer) RecordSuccess(id string, latency time.Duration) {
+func (b *Balancer) RecordSuccess(key string, latency time.Duration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	s := b.state(id)
+	s := b.state(key)
 	s.consecutiveFailures = 0
 	s.backoffUntil = time.Time{}
 	if s.latency == 0 {
--- a/internal/dispatch/exclusion_test.go
+++ b/internal/dispatch/exclusion_test.go
@@ -56,7 +56,7 @@
 		Expect(spent).To(Equal(1))
 	})
 
-	It("determines the caller's retry delay when no other server is eligible", func() {
+	It("determines the caller's retry hint when no other server is eligible", func() {
 		b := newFixture()
 		setResting(b, "a")
 		b.backend.replies = []reply{reportBeforeSend(b, restReport)}
@@ -74,7 +74,7 @@
 		Expect(b.balancer.Exclusion("a", b.now.Add(rest))).To(BeNil())
 	})
 
-	It("gives a short retry delay while another server is eligible", func() {
+	It("gives a short retry hint while another server is eligible", func() {
 		refusal := refuses(restReport)
 		b := newFixture(refusal, refusal)
 		b.fleet.setServers(append(b.fleet.servers.OfService("plain"), &fleet.Server{ID: "c", Service: "plain", Capacity: 6, Zone: "z1"})...)
@@ -83,7 +83,7 @@
 		Expect(f.RetryAfter).To(Equal(noServerRetryAfter), "not the 3 s rest of the servers")
 	})
 
-	It("keeps its duration while the VM is suspended", func() {
+	It("expires also while the VM is suspended", func() {
 		steady, boot := time.Unix(1000, 0), time.Duration(0)
 		clk, err := clock.NewFrom(func() time.Time { return steady }, func() (time.Duration, error) { return boot, nil })
 		Expect(err).NotTo(HaveOccurred())
--- a/internal/dispatch/group_test.go
+++ b/internal/dispatch/group_test.go
@@ -17,7 +17,7 @@
 		b.balancer.markBroken(b.fleet.Servers().ByID("r0"), b.now)
 	}
 
-	It("gets no requests, and callers get a retry delay", func() {
+	It("gets no requests, and callers get a retry hint", func() {
 		b := newFixture()
 		breakGroup(b)
 		result := b.serve("stream")
--- a/internal/dispatch/limits.go
+++ b/internal/dispatch/limits.go
@@ -55,7 +55,7 @@
 }
 
 // recordLimitRefusal records that a caller is refused by the rate limits of the servers that are
-// neither resting nor leaving, and returns its retry delay; 0 if none of them has a limit.
+// neither resting nor leaving, and returns its retry hint; 0 if none of them has a limit.
 func (b *Balancer) recordLimitRefusal(servers []*fleet.Server, r *Request, now time.Time) time.Duration {
 	if !b.limits.Any() {
 		return 0
--- a/internal/dispatch/pipeline.go
+++ b/internal/dispatch/pipeline.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"fmt"
 	"hash/fnv"
 	"time"
 
@@ -161,9 +162,10 @@
 		r.Customer = customer.Name
 	}
 	r.Priority = fleet.Priority(route, customer)
-	service := config.Service(pickService(route, r.ID))
+	name := pickService(route, r.ID)
+	service := config.Service(name)
 	if service == nil {
-		return target, failure.NotRun(failure.StepRoute, route.Name, failure.CodeNoServer, "the route's service is not configured").WithRetryAfter(noServerRetryAfter)
+		return target, failure.NotRun(failure.StepRoute, route.Name, failure.CodeNoServer, fmt.Sprintf("the route's service %q is not configured", name)).WithRetryAfter(noServerRetryAfter)
 	}
 	target.Service, target.Deadline = service.Name, r.ReceivedAt.Add(route.Timeout)
 	target.maxConnections = service.MaxConns
--- a/internal/dispatch/types.go
+++ b/internal/dispatch/types.go
@@ -182,7 +182,8 @@
 	maxConnections int
 }
 
-// Chooser selects servers, tracks the attempts, and manages the retry budget.
+// Chooser selects servers, tracks the attempts, and manages the retry budget. Servers are
+// identified by fleet.Server.Key.
 type Chooser interface {
 	// Choose selects one of the candidates, except those in tried. The choice has no server if
 	// none is eligible.
--- a/internal/loadfeed/loadfeed.go
+++ b/internal/loadfeed/loadfeed.go
@@ -96,13 +96,13 @@
 
 // Balancer receives the reported loads and group states.
 type Balancer interface {
-	UpdateLoad(id string, load dispatch.Load, at time.Time)
+	UpdateLoad(key string, load dispatch.Load, at time.Time)
 	UpdateGroup(rank fleet.GroupRank, at time.Time)
 }
 
 // EngineMonitor is notified of whether a server responds to its agent.
 type EngineMonitor interface {
-	SetEngineReachable(server string, reachable bool)
+	SetEngineReachable(key string, reachable bool)
 }
 
 // Receiver receives load reports and forwards them to a Balancer and an EngineMonitor.
--- a/internal/quarantine/decision.go
+++ b/internal/quarantine/decision.go
@@ -76,14 +76,14 @@
 	}
 	decision.Until = r.quarantineEnd(t.countedExits(r, decision.Servers))
 	if now.Before(r.configuredUntil) {
-		decision.State, decision.Until = Quarantined, later(decision.Until, r.configuredUntil)
+		decision.State, decision.Until = Quarantined, latest(decision.Until, r.configuredUntil)
 		return decision
 	}
 	decision.State = t.stateByEvidence(d, r, decision.Servers, now)
 	return decision
 }
 
-func later(a, b time.Time) time.Time {
+func latest(a, b time.Time) time.Time {
 	if a.After(b) {
 		return a
 	}
--- a/internal/ratelimit/backlog.go
+++ b/internal/ratelimit/backlog.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// maxRetryAfter bounds the Retry-After that callers receive.
+// maxRetryAfter bounds the retry hints of callers.
 const maxRetryAfter = 30 * time.Second
 
 // currentBacklog returns the estimated number of refused callers that have yet to retry.
@@ -18,7 +18,7 @@
 }
 
 // RecordRefusal records that a caller is refused because none of the servers may receive its
-// request. It returns the caller's retry delay, at most maxRetryAfter: the time until the first
+// request. It returns the caller's retry hint, at most maxRetryAfter: the time until the first
 // server becomes available and has served the callers that were refused earlier. It returns 0
 // when none of the servers has a limit.
 func (t *Table) RecordRefusal(keys []string, r TokenRequest, now time.Time) time.Duration {
--- a/internal/ratelimit/doc.go
+++ b/internal/ratelimit/doc.go
@@ -2,9 +2,9 @@
 // across all VMs. It does no I/O: time, randomness and messages are arguments, and messages to
 // peers are return values.
 //
-// Every daemon holds a token bucket per limited server. The bucket refills at the full limit,
-// and each request of any daemon takes a token: local requests at once, requests of peers when
-// their update arrives, typically some milliseconds later. Capacity that one daemon leaves
+// Every daemon holds a token bucket per limited server. The bucket refills at almost the full
+// limit, and each request of any daemon takes a token: local requests at once, requests of peers
+// when their update arrives, typically some milliseconds later. Capacity that one daemon leaves
 // unused is therefore available to all others. Daemons that send concurrently put the bucket
 // into debt, which delays the next request. A short random wait per daemon and request,
 // between the time that a token becomes available and the time that the daemon may take it,
--- a/internal/ratelimit/fairness.go
+++ b/internal/ratelimit/fairness.go
@@ -10,9 +10,9 @@
 	// minHalfLife its lower bound in time.
 	halfLifeRequests = 20
 	minHalfLife      = 5 * time.Second
-	// activeTime is how long a customer counts as active after its last request, including
+	// activeWindow is how long a customer counts as active after its last request, including
 	// refused ones.
-	activeTime = 3 * time.Second
+	activeWindow = 3 * time.Second
 	// aboveAverageThreshold is the number of requests above the average of the other active
 	// customers that makes a customer wait longer.
 	aboveAverageThreshold = 0.5
@@ -88,7 +88,7 @@
 	}
 	t.countedAt, t.active, t.total = now, 0, 0
 	for _, usage := range t.customers {
-		if now.Sub(usage.requestedAt) <= activeTime {
+		if now.Sub(usage.requestedAt) <= activeWindow {
 			t.active++
 			t.total += usage.decayed(rate, now)
 		}
--- a/internal/ratelimit/table.go
+++ b/internal/ratelimit/table.go
@@ -46,8 +46,8 @@
 	// id identifies this process in messages; never 0.
 	id     uint64
 	random func() float64
-	// limited is the number of servers with a limit. While it is 0, calls return without
-	// locking.
+	// limited is the number of servers with a limit. While it is 0, requests are admitted
+	// without locking.
 	limited atomic.Int64
 
 	mu      sync.Mutex
