--- a/internal/config/agents.go
+++ b/internal/config/agents.go
@@ -5,8 +5,8 @@
 	"maps"
 )
 
-// AgentEvent is a record by the agent of a backend server: the start of a run, or the end of one by
-// a planned stop, with the idempotency keys that the agent knows.
+// AgentEvent is a record of the agent of a backend server: the start of a run, or its end by a
+// planned stop, with the idempotency keys that the agent knew.
 type AgentEvent struct {
 	Server      string `json:"server"`
 	Incarnation string `json:"incarnation"`
--- a/internal/config/homes.go
+++ b/internal/config/homes.go
@@ -6,14 +6,14 @@
 )
 
 // HomesChange is the last change of the homes of a service's idempotency keys, by a change of its
-// servers or of a route to it.
+// servers, of a route to it, or of a customer's labels. The home of a key is the agent that owns it.
 type HomesChange struct {
 	Offset int64 `json:"offset"`
 	TimeMs int64 `json:"timeMs"`
 }
 
-// recordHomesChanges records the services whose homes a bundle changes. It must be called before
-// the bundle is committed.
+// recordHomesChanges records the services whose homes a bundle changes or may change. It must be
+// called before the bundle is committed.
 func (s *State) recordHomesChanges(bundle *Bundle, entry LogEntry) {
 	changed := map[string]bool{}
 	for _, change := range bundle.Changes {
@@ -51,7 +51,7 @@
 }
 
 // servicesWithChangedHomes returns the services whose homes change with an object. Draining doesn't
-// change homes, since the server closes its keys by itself.
+// change them, since a draining agent closes its keys itself.
 func servicesWithChangedHomes(before, after *Object) []string {
 	from, to := homeInputsOf(before), homeInputsOf(after)
 	if reflect.DeepEqual(from, to) {
--- a/internal/config/objects.go
+++ b/internal/config/objects.go
@@ -125,7 +125,7 @@
 	MaxLoads int `json:"maxLoads,omitempty"`
 }
 
-// Route defines which traffic may go to which backend servers.
+// Route defines which requests may go to which backend servers.
 type Route struct {
 	// Priority orders the routes; the matching route with the highest priority is used.
 	Priority int    `json:"priority,omitempty"`
@@ -160,7 +160,7 @@
 // while they run the request. Its name is the request's digest; deleting it allows the request
 // again.
 type Quarantine struct {
-	// Customer and Path identify the origin of the request if an entry created the quarantine.
+	// Customer and Path are those of the request if an entry created the quarantine.
 	Customer string `json:"customer,omitempty"`
 	Path     string `json:"path,omitempty"`
 	// SinceMs is the time of the first crash, in Unix milliseconds.
--- a/internal/config/restore.go
+++ b/internal/config/restore.go
@@ -11,8 +11,8 @@
 	"github.com/pkg/errors"
 )
 
-// RestorePart is a part of a state from a prior era of the log. Processes that apply the last part
-// continue from that state, so that all have the same state again.
+// RestorePart is a part of a state from a prior era of the log. Processes that have applied all
+// parts continue from that state, so that all have the same one again.
 type RestorePart struct {
 	// Era is the era into which the state is carried over.
 	Era int64 `json:"era"`
@@ -78,8 +78,8 @@
 }
 
 const (
-	// maxRecentChanges and maxRecentChangesBytes limit the retained changes. A copy of the store is
-	// a few seconds old, and 8,600 changes a day are one in ten seconds.
+	// maxRecentChanges and maxRecentChangesBytes limit the retained changes. A copy of the store
+	// lacks a few seconds, and at 8,600 changes a day there is one in ten seconds.
 	maxRecentChanges      = 256
 	maxRecentChangesBytes = 256 << 10
 )
@@ -109,7 +109,8 @@
 	return clone, errors.Wrap(err, "clone")
 }
 
-// applyRestore collects the parts of a state and replaces the current state after the last one.
+// applyRestore collects the parts of a state and replaces the current state after the last one. A
+// state that can't be decoded is skipped.
 func (s *State) applyRestore(restore *RestorePart, entry LogEntry) {
 	if restore.Part == 0 {
 		s.PartialRestore = nil
--- a/internal/config/state.go
+++ b/internal/config/state.go
@@ -23,10 +23,9 @@
 // days at 8,600 changes a day.
 const maxCommands = 20000
 
-// State is the result of applying the log up to Position. All processes at the same position have
-// an identical state, once the state has been carried over after a restore of the store. The
-// offsets in it are positions as integers, so they never decrease. State isn't safe for concurrent
-// use; View returns an immutable view.
+// State is the result of applying the log up to Position, identical in all processes (after a
+// restore of the store, once a state was carried over). Its offsets are positions as integers, so
+// they never decrease. State isn't safe for concurrent use; View returns an immutable view.
 type State struct {
 	Position storelog.Position `json:"offset"`
 	// Last is the digest of the record at Position, by which the same record is recognized in
@@ -52,7 +51,8 @@
 	shared bool // Objects is shared with a View and must be cloned before a change
 }
 
-// SkippedRecords counts records that this release doesn't support.
+// SkippedRecords counts the records of a kind that were undecodable or unsupported by this release.
+// First is the offset of the first one.
 type SkippedRecords struct {
 	First int64 `json:"first"`
 	Count int64 `json:"count"`
--- a/internal/config/state_property_test.go
+++ b/internal/config/state_property_test.go
@@ -112,7 +112,8 @@
 	w.observe(t, replica)
 }
 
-// observe checks that replicas at the same position have the same state and that no result changes.
+// observe checks that replicas at the same position have the same state and that no command is
+// accepted by one and rejected by another.
 func (w *stateMachine) observe(t *rapid.T, replica *State) {
 	hash := replica.Hash()
 	if known, ok := w.hashes[replica.Position]; ok && known != hash {
@@ -186,8 +187,9 @@
 	}
 }
 
-// Replicas must have the same state at the same position, however they got there; results must not
-// change, and each command must take effect once.
+// TestReplicasAgreeOnStateAtSamePosition checks that replicas have the same state at the same
+// position, however they got there, that results don't change, and that each command takes effect
+// once.
 func TestReplicasAgreeOnStateAtSamePosition(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := &stateMachine{log: &fakeLog{}, hashes: map[storelog.Position]string{}, accepted: map[string]bool{}, savedPosition: storelog.Unknown}
@@ -198,13 +200,13 @@
 			"write": w.write, "write unknown": w.writeUnknown, "event": w.event, "fetch and apply": w.apply,
 			"snapshot": w.saveSnapshot, "gc log": w.truncateLog, "replace": w.replace, "install peer state": w.installPeerState,
 		})
-		w.converge(t)
+		w.checkObjects(t)
 	})
 }
 
-// converge checks that each current object was set by an accepted change, at the first record of
-// its command.
-func (w *stateMachine) converge(t *rapid.T) {
+// checkObjects checks that each current object was set by an accepted change, at the first record
+// of its command, and that the audit trail is intact.
+func (w *stateMachine) checkObjects(t *rapid.T) {
 	reference := NewState()
 	for _, entry := range w.log.entries {
 		w.applyOne(t, reference, entry)
--- a/internal/membership/exchange.go
+++ b/internal/membership/exchange.go
@@ -13,8 +13,8 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// Exchange answers the pulls of other daemons and pulls from them. It is safe for concurrent use;
-// no other lock is acquired while its lock is held.
+// Exchange serves the pulls of other daemons and pulls from them. It is safe for concurrent use; no
+// other lock is acquired while its lock is held.
 type Exchange struct {
 	members *Membership
 	self    Peer
@@ -84,8 +84,8 @@
 // or pull.
 func (e *Exchange) SetEras(eras *storelog.EraTracker) { e.eras = eras }
 
-// observeEra records the era of a peer's position, unless the peer reports no era or knows no
-// record.
+// observeEra records the era of a peer's position, unless the peer reports no era or hasn't read
+// the topic yet.
 func (e *Exchange) observeEra(era *int64, next int64) {
 	if e.eras != nil && era != nil && next > storelog.Unknown.Offset() {
 		e.eras.Observe(*era)
@@ -99,8 +99,8 @@
 	e.seeds = seeds
 }
 
-// Exchange implements peerrpc.Membership. The request holds only the positions that the caller
-// knows: data flows to the caller alone, nothing is pushed.
+// Exchange implements peerrpc.Membership. The request describes what the caller has, by positions
+// and a digest; data flows only to the caller.
 func (e *Exchange) Exchange(_ context.Context, r *peerrpc.ExchangeRequest) (*peerrpc.ExchangeReply, error) {
 	if r.GetControl() != "" {
 		e.recordContact(Peer{Control: r.GetControl(), Zone: r.GetZone()})
@@ -312,8 +312,8 @@
 	return contacts
 }
 
-// Peers returns the control addresses of all known daemons, including the seeds. It removes expired
-// ones.
+// Peers returns the control addresses of all known daemons and the seeds, without this daemon's. It
+// removes expired ones.
 func (e *Exchange) Peers() []string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/membership/follower.go
+++ b/internal/membership/follower.go
@@ -77,7 +77,7 @@
 	// registrations are always younger than that while it is healthy.
 	readerIntervalFraction = 0.8
 	relayedAgeFraction     = 0.9
-	// callTimeout limits a call to the store beyond its wait.
+	// callTimeout limits a call to the store, in addition to the time that it waits for records.
 	callTimeout = 900 * time.Millisecond
 	// minRetryDelay and maxRetryDelay limit the delay after a failed call.
 	minRetryDelay = 100 * time.Millisecond
@@ -103,9 +103,9 @@
 	interval time.Duration
 	// failures is the number of consecutive failed reads of registrations.
 	failures int
-	// healthy is set if the last call to the store succeeded.
+	// healthy is set if the last read of registrations from the store succeeded.
 	healthy atomic.Bool
-	// refresh triggers the next read of registrations at once.
+	// refresh triggers the next refresh of the registrations.
 	refresh chan struct{}
 	// restartRead interrupts the long poll for a configuration.
 	restartRead chan struct{}
@@ -138,7 +138,7 @@
 	return f
 }
 
-// Healthy reports whether the last call to the store succeeded.
+// Healthy reports whether the last read of registrations from the store succeeded.
 func (f *Follower) Healthy() bool { return f.healthy.Load() }
 
 // OnReachable sets a callback that runs when the store becomes reachable. It must be called before
@@ -218,8 +218,8 @@
 	}
 }
 
-// RestartReads restarts all reads at once: the connection of a long poll may have died while this
-// VM was suspended.
+// RestartReads refreshes the registrations and restarts the long poll: its connection may have died
+// while this VM was suspended.
 func (f *Follower) RestartReads() {
 	signal(f.refresh)
 	signal(f.restartRead)
--- a/internal/membership/longpoll_test.go
+++ b/internal/membership/longpoll_test.go
@@ -72,7 +72,7 @@
 		Expect(b.members.ConfigAge()).To(BeNumerically("~", time.Second, 2*time.Millisecond))
 	})
 
-	It("aren't shortened by a restart", func() {
+	It("aren't shortened after one was interrupted to restart", func() {
 		blocked := &blockingStore{fakeStore: b.store}
 		b.follower.store = blocked
 		signal(b.follower.restartRead)
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -19,8 +19,8 @@
 	ConfigKey() string
 }
 
-// outageGrace is how long a server stays in use after the store is reachable again although its
-// registration lapsed during the outage. Running servers register again within 2 s.
+// outageGrace is how long a server stays in use whose registration lapsed during an outage of the
+// store or is missing after a restore. Running servers register again within 2 s.
 const outageGrace = 2300 * time.Millisecond
 
 // Membership is a daemon's copy of the configuration and the registrations. The version of the
@@ -35,8 +35,8 @@
 	operators *topic
 	servers   *topic
 	decoded   map[string]*fleet.Server
-	// lapsed maps servers whose registration lapsed around an outage of the store to the time of
-	// their removal.
+	// lapsed maps the servers that are kept for outageGrace, or as long as a peer keeps them, to the
+	// time of their removal.
 	lapsed map[string]time.Time
 	// invalid holds the IDs whose registration can't be used.
 	invalid map[string]bool
@@ -210,7 +210,7 @@
 	// asOf is the time as of which the records are complete, or zero if unknown.
 	asOf   time.Time
 	source string
-	// lapses maps deleted registrations that the source still keeps in use to the remaining time.
+	// lapses maps deleted registrations that stay in use to the remaining time.
 	lapses map[string]time.Duration
 }
 
@@ -281,8 +281,8 @@
 	return true
 }
 
-// rejectServer drops a server whose registration can't be used. The rejection is logged once per
-// server.
+// rejectServer drops a server whose registration can't be used. It reports whether the server was
+// in use. Repeated rejections aren't logged.
 func (m *Membership) rejectServer(id string, old *fleet.Server, err error, log *logrus.Entry) bool {
 	m.servers.markChanged(id)
 	if !m.invalid[id] {
@@ -309,8 +309,8 @@
 }
 
 // removeServer removes a server whose registration was deleted. If the registration may only have
-// lapsed, because the source keeps it or the store was unreachable, the server stays for a grace
-// period. It reports whether the server was removed.
+// lapsed, because grace is set or the store was unreachable, the server stays for a grace period
+// unless it is leaving. It reports whether the server was removed.
 func (m *Membership) removeServer(id string, old *fleet.Server, grace time.Duration, log *logrus.Entry) bool {
 	if old == nil {
 		return false
@@ -323,7 +323,7 @@
 	}
 	if grace > 0 {
 		m.lapsed[id] = m.now().Add(grace)
-		log.Info("registration lapsed during a store outage: keeping the server for a grace period")
+		log.Info("registration lapsed during a store outage or restore: keeping the server for a grace period")
 		return false
 	}
 	m.markDeparted(id, old)
@@ -339,7 +339,7 @@
 		if m.now().After(until) {
 			delete(m.lapsed, id)
 			m.markDeparted(id, m.decoded[id])
-			m.log.WithField("server", id).Info("server removed: not registered again after the store outage")
+			m.log.WithField("server", id).Info("server removed: not registered again within the grace period")
 			changed = true
 		}
 	}
--- a/internal/membership/membership_suite_test.go
+++ b/internal/membership/membership_suite_test.go
@@ -56,7 +56,7 @@
 	era   int64
 }
 
-// comeBack takes the store to the next era, with the first records of each topic.
+// restoreCopy moves the store to the next era with only the first records of each topic.
 func (s *fakeStore) restoreCopy(operators, servers int) {
 	s.era++
 	for topic, kept := range map[Topic]int{TopicOperators: operators, TopicServers: servers} {
@@ -212,7 +212,7 @@
 			Expect(b.ids()).To(ConsistOf("a"))
 		})
 
-		It("removes a server at once that is deleted after the first read", func() {
+		It("removes a server at once that is deleted after the first read that follows", func() {
 			b := newFixture()
 			b.store.append(TopicServers, "a", "1.1.1.1:1")
 			Expect(b.read()).To(Succeed())
--- a/internal/membership/reader_test.go
+++ b/internal/membership/reader_test.go
@@ -169,8 +169,8 @@
 	})
 
 	Describe("that lapsed during a store outage", func() {
-		// lapsed returns the daemons of a zone after an outage that only the reader observed and in
-		// which the registration of a lapsed.
+		// lapsed returns the daemons of a zone after an outage that only the reader observed, in
+		// which the registration of server "a" lapsed.
 		lapsed := func() (reader, other *servedDaemon) {
 			store := newFakeStore()
 			store.append(TopicServers, "a", "1.1.1.1:1")
--- a/internal/membership/reconcile.go
+++ b/internal/membership/reconcile.go
@@ -50,7 +50,7 @@
 }
 
 // newerValue returns the value of a record from an older copy of the store, or a newer one that is
-// already known.
+// already known: nil if the server was removed recently.
 func (m *Membership) newerValue(r Record) []byte {
 	if len(r.Value) == 0 {
 		return nil
--- a/internal/membership/restoredstore_test.go
+++ b/internal/membership/restoredstore_test.go
@@ -126,7 +126,7 @@
 		Expect(inForce(other)).To(Equal(int64(3)))
 	})
 
-	It("returns an error to retry after a delay if it reports no era", func() {
+	It("causes an error and a retry while it is behind and reports no era", func() {
 		b.store.records[TopicOperators] = b.store.records[TopicOperators][:1]
 		Expect(b.follower.readConfig(context.Background())).To(MatchError(errStoreBehind))
 		Expect(inForce(b)).To(Equal(int64(3)))
--- a/internal/replica/follow.go
+++ b/internal/replica/follow.go
@@ -145,7 +145,7 @@
 		return err
 	}
 	if !r.InstallState(state) {
-		return errors.Errorf("%s: state isn't newer than this replica's", source.Name())
+		return errors.Errorf("%s: state at %s isn't newer than this replica's at %s", source.Name(), state.Position, r.Position())
 	}
 	return nil
 }
--- a/internal/replica/persist.go
+++ b/internal/replica/persist.go
@@ -15,8 +15,8 @@
 	// persistInterval is the minimum time between checks whether to persist the state. Each daemon
 	// waits up to twice as long at random, so that usually only one writes.
 	persistInterval = time.Second
-	// maxPersistInterval is how often the state is persisted if only events were recorded. It must
-	// be well below the log's retention of 300 s.
+	// maxPersistInterval is how often the state is persisted if records were added but no change was
+	// accepted. It must be well below the log's retention of 300 s.
 	maxPersistInterval = 60 * time.Second
 	// persistTimeout limits one attempt.
 	persistTimeout = 3 * time.Second
@@ -29,8 +29,8 @@
 	persistedAt time.Time
 }
 
-// due reports whether to persist a view now: at once after a change or in a new era, whose
-// persisted snapshot is older, and otherwise periodically if there were other records.
+// due reports whether to persist a view now: at once after an accepted change or in a new era, and
+// otherwise every maxPersistInterval if there were other records.
 func (s *snapshotSchedule) due(now time.Time, view *config.View) bool {
 	if view.Position.Offset() < 0 {
 		return false
@@ -45,8 +45,8 @@
 	s.position, s.configured, s.persistedAt = view.Position, view.Configured, now
 }
 
-// PersistSnapshots writes the state to the store whenever it has changed, until the context ends.
-// Several daemons may do so concurrently: an older state never replaces a newer one.
+// PersistSnapshots writes the state to the store when it is due, until the context ends. Several
+// daemons may do so concurrently: an older state never replaces a newer one.
 func (r *Replica) PersistSnapshots(ctx context.Context, log Log, logger *logrus.Entry) {
 	schedule := snapshotSchedule{position: storelog.Unknown, configured: config.NoOffset, persistedAt: r.now()}
 	for wait.For(ctx, persistInterval+rand.N(persistInterval)) {
@@ -55,7 +55,7 @@
 			continue
 		}
 		if err := r.persistOnce(ctx, log); err != nil {
-			logger.WithError(err).WithField("position", view.Position.String()).Warn("failed to persist the state; retrying")
+			logger.WithError(err).WithField("position", view.Position.String()).Warn("state not persisted, will retry")
 			continue
 		}
 		schedule.recordPersisted(r.now(), view)
--- a/internal/replica/replica.go
+++ b/internal/replica/replica.go
@@ -38,9 +38,9 @@
 // recentRecords is how many records a replica retains for its peers.
 const recentRecords = 4096
 
-// Replica is a process's replica of the configuration. Its position never decreases, and its view
-// never loses an applied change. It is safe for concurrent use; no other lock is acquired while its
-// lock is held.
+// Replica is a process's replica of the configuration. Its position never decreases. Its view keeps
+// applied changes that a restored log lacks, for up to viewHold if they aren't on the log again by
+// then. It is safe for concurrent use; no other lock is acquired while its lock is held.
 type Replica struct {
 	mu    sync.Mutex
 	state *config.State
@@ -108,8 +108,8 @@
 	return nil
 }
 
-// InstallState replaces the state by a newer one. It reports whether it did so: an older one is
-// ignored, so that nothing reverts.
+// InstallState replaces the state by one at a higher position. It reports whether it did so: others
+// are ignored, so that nothing reverts.
 func (r *Replica) InstallState(state *config.State) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -148,8 +148,8 @@
 // Next returns the position after the last applied record.
 func (r *Replica) Next() storelog.Position { return r.Position() + 1 }
 
-// ObservePeerPosition records the next position of a peer. If this replica hasn't caught up after a
-// grace period, its current read is ended, since it may miss records.
+// ObservePeerPosition is called with the next position of a peer. If this replica hasn't caught up
+// after a grace period, its current read is ended, since it may miss records.
 func (r *Replica) ObservePeerPosition(next storelog.Position) {
 	if next <= r.Next() {
 		return
@@ -211,7 +211,7 @@
 	return batch
 }
 
-// Result returns the result of a command.
+// Result returns the result of a command, and false if it is unknown or no longer remembered.
 func (r *Replica) Result(commandID string) (config.Result, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/replica/restore.go
+++ b/internal/replica/restore.go
@@ -22,12 +22,10 @@
 	}
 }
 
-// carryOver moves the replica into the new era of a log that was restored from an older copy. It
-// appends the replica's whole state, with the records that were added since, so that all replicas
-// continue from the same state: they may have known different records that the copy lacks, and the
-// records that it has are at other positions now. The append succeeds for one replica only, since
-// it requires that nothing was added meanwhile. carryOver returns false if the log is in the
-// replica's era or no longer has the records after the replica's position.
+// carryOver moves the replica into the new era of a log that was restored from an older copy, and
+// all replicas to the same state: the first one appends its whole state with the records added
+// since, the others read that. carryOver returns false if the log is in the replica's era or no
+// longer has the records after the replica's position.
 func (r *Replica) carryOver(ctx context.Context, log Log, logger *logrus.Entry) (bool, error) {
 	entries, end, err := log.ReadAll(ctx)
 	if err != nil {
@@ -117,7 +115,7 @@
 	}
 }
 
-// writeRestore appends the state and the records that are newer than the copy, provided that the
+// writeRestore appends the state after newer, the records that the replica lacks, provided that the
 // log still ends at the position end.
 func (r *Replica) writeRestore(ctx context.Context, log Log, newer []config.LogEntry, end storelog.Position) error {
 	r.mu.Lock()
--- a/internal/replica/restore_property_test.go
+++ b/internal/replica/restore_property_test.go
@@ -148,8 +148,8 @@
 	return found
 }
 
-// A change must not be lost when the log is restored while any replica has it, and all replicas
-// must converge on one state.
+// TestChangeSurvivesWhileAnyReplicaHasIt checks that a change isn't lost when the log is restored
+// while any replica has it, and that all replicas converge on one state.
 func TestChangeSurvivesWhileAnyReplicaHasIt(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const replicas = 3
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -33,7 +33,7 @@
 	}
 }
 
-// URL checks that a setting is an HTTP URL.
+// URL checks that a setting is an http URL with a host. Other schemes are rejected.
 func (c *Checker) URL(name, value string) {
 	parsed, err := url.Parse(value)
 	if err != nil || parsed.Scheme != "http" || parsed.Host == "" {
@@ -48,7 +48,7 @@
 	}
 }
 
-// AddError adds a problem if err isn't nil.
+// AddError adds err as a problem with a setting, unless it is nil.
 func (c *Checker) AddError(name, value string, err error) {
 	if err != nil {
 		c.add(name, value, err.Error())
--- a/internal/storelog/eras.go
+++ b/internal/storelog/eras.go
@@ -6,10 +6,10 @@
 // NoEra is the era of a store that doesn't report eras.
 const NoEra int64 = 0
 
-// EraTracker records the newest era of the store that this daemon knows. The era increases each
-// time the store is restored from an older copy: acknowledged records may then be missing, and
-// their offsets are reused. The zero value knows no era. It is safe for concurrent use; no other
-// lock is acquired while its lock is held.
+// EraTracker records the newest known era of the store. The era increases each time the store is
+// restored from an older copy: acknowledged records may then be missing and their offsets reused.
+// The zero value knows no era. It is safe for concurrent use; no other lock is acquired while its
+// lock is held.
 type EraTracker struct {
 	mu        sync.Mutex
 	newest    int64
@@ -17,8 +17,8 @@
 	onAdvance []func(before, now int64)
 }
 
-// OnAdvance registers a callback that runs each time the era advances. It must be called before the
-// first Observe.
+// OnAdvance registers a callback that runs in Observe each time the era advances. It must be called
+// before the first Observe.
 func (e *EraTracker) OnAdvance(f func(before, now int64)) { e.onAdvance = append(e.onAdvance, f) }
 
 // Observe records an era that the store or a peer reported. The first one doesn't count as an
