--- a/internal/dispatch/choose.go
+++ b/internal/dispatch/choose.go
@@ -23,7 +23,7 @@
 	// during its backoff because there was no other.
 	Failures   int
 	BackingOff bool
-	// Excluded counts the servers that have reported that they are resting or leaving.
+	// Excluded counts the servers that have reported themselves as resting or leaving.
 	Excluded int
 	// Limited counts the servers whose rate limit is exhausted.
 	Limited int
--- a/internal/dispatch/exclusion.go
+++ b/internal/dispatch/exclusion.go
@@ -68,7 +68,7 @@
 			"all servers that aren't resting or leaving are rate-limited").WithRetryAfter(retryAfter)
 	case retryAfter > 0:
 		return failure.NotRun(failure.StepQueue, x.Service, failure.CodeResting,
-			"all allowed servers are resting or leaving").WithRetryAfter(retryAfter)
+			"all allowed servers are resting, leaving or rate-limited").WithRetryAfter(retryAfter)
 	case x.choice.Full > 0:
 		spread := time.Duration(p.balancer.random(int(retryAfterSpread.Milliseconds()))) * time.Millisecond
 		return failure.NotRun(failure.StepQueue, x.Service, failure.CodeOverloaded,
