--- a/internal/headers/headers.go
+++ b/internal/headers/headers.go
@@ -45,8 +45,8 @@
 	KeyClosed    = "X-Crowbridge-Key-Closed"
 	WantServer   = "X-Crowbridge-Want-Server"
 	Homes        = "X-Crowbridge-Homes"
-	// Rest is how many milliseconds the agent's server keeps resting, as it asked by
-	// Retry-After.
+	// Rest is the remaining time, in milliseconds, for which the agent's server must get no new
+	// requests, because it asked for that by Retry-After.
 	Rest = "X-Crowbridge-Rest-Ms"
 )
 
@@ -168,7 +168,7 @@
 	}
 }
 
-// WriteRest sets how long the agent's server keeps resting, rounded up to milliseconds. It sets
+// WriteRest sets the remaining rest of the agent's server, rounded up to milliseconds. It sets
 // nothing if left isn't positive.
 func WriteRest(h http.Header, left time.Duration) {
 	if left > 0 {
--- a/internal/httpapi/httpapi.go
+++ b/internal/httpapi/httpapi.go
@@ -41,13 +41,13 @@
 		return nil, errors.Wrap(err, "body: invalid completion request")
 	}
 	if c.Model == "" {
-		return nil, errors.New("model: empty: name one of /v1/models")
+		return nil, errors.New("model: empty: use a model from /v1/models")
 	}
 	if c.MaxTokens < 0 || c.MaxTokens > maxMaxTokens {
 		return nil, errors.Errorf("max_tokens: %d: use 1 to %d", c.MaxTokens, maxMaxTokens)
 	}
 	if len(c.Messages) == 0 && len(c.Prompt) == 0 {
-		return nil, errors.New("messages: missing: give messages, or prompt for /v1/completions")
+		return nil, errors.New("messages: missing: set messages, or prompt for /v1/completions")
 	}
 	return &c, nil
 }
