--- a/standins/engine/group.go
+++ b/standins/engine/group.go
@@ -196,8 +196,8 @@
 	g.startEpoch()
 }
 
-// SetLateCommands drops the response of each every-th command and delays its execution. If
-// every is 0, no command is delayed.
+// SetLateCommands makes the group drop the response of one in every commands and execute it
+// after delay. If every is 0, no command is late.
 func (g *Group) SetLateCommands(every int, delay time.Duration) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
