--- a/internal/experts/agent.go
+++ b/internal/experts/agent.go
@@ -106,7 +106,7 @@
 
 // Query selects what an observation contains besides a rank's state.
 type Query struct {
-	// From and To bound the range of counts, as indexes of Counts.Chosen.
+	// From and To bound the range of counts, as indexes of Counts.Selections.
 	From, To int
 	// Experts requests the experts of the map in use.
 	Experts bool
@@ -140,12 +140,12 @@
 
 // slice returns the counts from index from up to, not including, to.
 func (c Counts) slice(from, to int) Counts {
-	to = min(to, len(c.Chosen))
+	to = min(to, len(c.Selections))
 	if from < 0 || from >= to {
-		c.Chosen = nil
+		c.Selections = nil
 		return c
 	}
-	c.Offset, c.Chosen = from, c.Chosen[from:to]
+	c.Offset, c.Selections = from, c.Selections[from:to]
 	return c
 }
 
@@ -157,16 +157,16 @@
 	prev, prevFence := a.prevCounts, a.prevCountsFence
 	a.prevCounts, a.prevCountsFence = counts, fence
 	delta := Counts{Pass: counts.Pass, Epoch: counts.Epoch, StartID: counts.StartID}
-	if prevFence != fence || prev.Epoch != counts.Epoch || prev.StartID != counts.StartID || len(prev.Chosen) != len(counts.Chosen) {
+	if prevFence != fence || prev.Epoch != counts.Epoch || prev.StartID != counts.StartID || len(prev.Selections) != len(counts.Selections) {
 		return delta
 	}
-	chosen := make([]float64, len(counts.Chosen))
-	for i, n := range counts.Chosen {
-		if chosen[i] = n - prev.Chosen[i]; chosen[i] < 0 {
+	selections := make([]float64, len(counts.Selections))
+	for i, n := range counts.Selections {
+		if selections[i] = n - prev.Selections[i]; selections[i] < 0 {
 			return delta
 		}
 	}
-	delta.Chosen = chosen
+	delta.Selections = selections
 	return delta
 }
 
--- a/internal/experts/agent_test.go
+++ b/internal/experts/agent_test.go
@@ -126,16 +126,16 @@
 	})
 
 	It("reports no counts across a restart of the engine", func() {
-		chosen := func(startID int64, counts ...float64) []float64 {
-			engine.counts = Counts{StartID: startID, Chosen: counts}
+		selections := func(startID int64, counts ...float64) []float64 {
+			engine.counts = Counts{StartID: startID, Selections: counts}
 			observation, err := agent.Observe(ctx, 7, Query{To: len(counts)})
 			Expect(err).NotTo(HaveOccurred())
-			return observation.Counts.Chosen
+			return observation.Counts.Selections
 		}
-		Expect(chosen(1, 5, 5)).To(BeNil())
-		Expect(chosen(1, 6, 7)).To(Equal([]float64{1, 2}))
-		Expect(chosen(2, 9, 9)).To(BeNil(), "counts after a restart that exceed the earlier ones")
-		Expect(chosen(2, 9, 10)).To(Equal([]float64{0, 1}))
+		Expect(selections(1, 5, 5)).To(BeNil())
+		Expect(selections(1, 6, 7)).To(Equal([]float64{1, 2}))
+		Expect(selections(2, 9, 9)).To(BeNil(), "counts after a restart that exceed the earlier ones")
+		Expect(selections(2, 9, 10)).To(Equal([]float64{0, 1}))
 	})
 
 	It("rejects commands of a superseded holder", func() {
@@ -154,32 +154,32 @@
 	})
 
 	It("returns the queried range of the counts since the holder's previous query", func() {
-		observe := func(query Query, chosen ...float64) Counts {
-			engine.counts = Counts{Epoch: 1, Chosen: chosen}
+		observe := func(query Query, selections ...float64) Counts {
+			engine.counts = Counts{Epoch: 1, Selections: selections}
 			observation, err := agent.Observe(ctx, 1, query)
 			Expect(err).NotTo(HaveOccurred())
 			return observation.Counts
 		}
 		observe(Query{}, 1, 1, 1, 1)
-		Expect(observe(Query{From: 1, To: 3}, 2, 3, 4, 5)).To(Equal(Counts{Epoch: 1, Offset: 1, Chosen: []float64{2, 3}}))
+		Expect(observe(Query{From: 1, To: 3}, 2, 3, 4, 5)).To(Equal(Counts{Epoch: 1, Offset: 1, Selections: []float64{2, 3}}))
 		Expect(observe(Query{}, 9, 9, 9, 9)).To(Equal(Counts{}))
-		Expect(observe(Query{From: 3, To: 9}, 9, 9, 9, 10).Chosen).To(Equal([]float64{1}))
-		Expect(observe(Query{From: 7, To: 9}, 9, 9, 9, 10).Chosen).To(BeEmpty())
+		Expect(observe(Query{From: 3, To: 9}, 9, 9, 9, 10).Selections).To(Equal([]float64{1}))
+		Expect(observe(Query{From: 7, To: 9}, 9, 9, 9, 10).Selections).To(BeEmpty())
 	})
 
 	It("returns counts since the previous query of the same holder only", func() {
-		chosen := func(fence, epoch int64, total float64) []float64 {
-			engine.counts = Counts{Epoch: epoch, Chosen: []float64{total}}
+		selections := func(fence, epoch int64, total float64) []float64 {
+			engine.counts = Counts{Epoch: epoch, Selections: []float64{total}}
 			observation, err := agent.Observe(ctx, fence, Query{To: 1})
 			Expect(err).NotTo(HaveOccurred())
-			return observation.Counts.Chosen
+			return observation.Counts.Selections
 		}
-		Expect(chosen(1, 1, 500)).To(BeNil(), "first query")
-		Expect(chosen(1, 1, 520)).To(Equal([]float64{20}))
-		Expect(chosen(1, 1, 3)).To(BeNil(), "the rank's counters were reset")
-		Expect(chosen(1, 2, 9)).To(BeNil(), "the group was formed again")
-		Expect(chosen(2, 2, 11)).To(BeNil(), "another holder")
-		Expect(chosen(2, 2, 12)).To(Equal([]float64{1}))
+		Expect(selections(1, 1, 500)).To(BeNil(), "first query")
+		Expect(selections(1, 1, 520)).To(Equal([]float64{20}))
+		Expect(selections(1, 1, 3)).To(BeNil(), "the rank's counters were reset")
+		Expect(selections(1, 2, 9)).To(BeNil(), "the group was formed again")
+		Expect(selections(2, 2, 11)).To(BeNil(), "another holder")
+		Expect(selections(2, 2, 12)).To(Equal([]float64{1}))
 	})
 
 	It("repeats a command until there is a response", func() {
@@ -290,22 +290,22 @@
 	})
 })
 
-// zipf returns how many of the choices each expert gets by a Zipf distribution,
+// zipf returns how many of the selections each expert gets by a Zipf distribution,
 // beginning with the most popular expert, first.
-func zipf(experts, choices, first int) []float64 {
+func zipf(experts, selections, first int) []float64 {
 	counts, total := make([]float64, experts), 0.0
 	for i := range counts {
 		counts[(first+i)%experts] = math.Pow(float64(i+1), -1.3)
 		total += counts[(first+i)%experts]
 	}
 	for expert := range counts {
-		counts[expert] *= float64(choices) / total
+		counts[expert] *= float64(selections) / total
 	}
 	return counts
 }
 
 var _ = Describe("a demand jump", func() {
-	const experts, choices = 96, 100_000
+	const experts, selections = 96, 100_000
 	shape := rebalance.Shape{Ranks: 12, Experts: experts, Layers: 1, Slots: 11}
 	now := time.Unix(1000, 0)
 	observe := func(d *Demand, counts []float64) Sample {
@@ -316,30 +316,30 @@
 	steady := func() *Demand {
 		d := NewDemand(shape, DefaultPolicy.HalfLife)
 		for range 20 {
-			observe(d, zipf(experts, choices, 0))
+			observe(d, zipf(experts, selections, 0))
 		}
 		return d
 	}
 
 	It("replaces the estimate with the second sample", func() {
 		d := steady()
-		both := zipf(experts, choices/2, 0)
-		for expert, n := range zipf(experts, choices/2, 40) {
+		both := zipf(experts, selections/2, 0)
+		for expert, n := range zipf(experts, selections/2, 40) {
 			both[expert] += n
 		}
 		Expect(observe(d, both).Jumped).To(BeTrue())
 		Expect(d.Settled()).To(BeFalse(), "the sample contains passes from before and after the jump")
-		Expect(observe(d, zipf(experts, choices, 40)).Jumped).To(BeFalse())
+		Expect(observe(d, zipf(experts, selections, 40)).Jumped).To(BeFalse())
 		Expect(d.Settled()).To(BeTrue())
 		popularity := d.Popularity()[0]
-		Expect(popularity[40]).To(BeNumerically("~", zipf(experts, choices, 40)[40], 1))
+		Expect(popularity[40]).To(BeNumerically("~", zipf(experts, selections, 40)[40], 1))
 		Expect(popularity[0]).To(BeNumerically("<", popularity[40]/10))
 	})
 
 	It("isn't detected from a single unusual prompt or a small sample", func() {
 		d := steady()
-		prompt := zipf(experts, choices, 0)
-		prompt[77] += 0.15 * choices
+		prompt := zipf(experts, selections, 0)
+		prompt[77] += 0.15 * selections
 		Expect(observe(d, prompt).Jumped).To(BeFalse())
 		Expect(observe(d, zipf(experts, 500, 40)).Jumped).To(BeFalse())
 		Expect(d.Settled()).To(BeTrue())
@@ -349,13 +349,13 @@
 		d := steady()
 		settled := 0
 		for i := range 40 {
-			observe(d, zipf(experts, choices, i*29%experts))
+			observe(d, zipf(experts, selections, i*29%experts))
 			if i >= 20 && d.Settled() {
 				settled++
 			}
 		}
 		Expect(settled).To(Equal(20))
-		Expect(d.Weight()).To(BeNumerically(">", 3*choices), "the estimate includes several samples")
+		Expect(d.Weight()).To(BeNumerically(">", 3*selections), "the estimate includes several samples")
 	})
 })
 
--- a/internal/experts/demand.go
+++ b/internal/experts/demand.go
@@ -21,9 +21,9 @@
 	smoothed  rebalance.Popularity
 	updatedAt time.Time
 	weight    float64
-	// fresh and freshChoices hold the counts of the current sample.
-	fresh        rebalance.Popularity
-	freshChoices float64
+	// fresh and freshSelections hold the counts of the current sample.
+	fresh           rebalance.Popularity
+	freshSelections float64
 	// baseline is the moving average of the distance of samples from the estimate.
 	baseline float64
 	// unsettled is set from a jump until the next sample that is large enough to be
@@ -33,9 +33,9 @@
 }
 
 const (
-	// minSampleChoices is the number of selections that a sample needs to be
+	// minSampleSelections is the number of selections that a sample needs to be
 	// compared. Smaller ones differ too much by chance.
-	minSampleChoices = 2000
+	minSampleSelections = 2000
 	// A sample whose distance exceeds both minJumpDistance and jumpFactor times the
 	// baseline is a jump.
 	minJumpDistance = 0.25
@@ -54,24 +54,24 @@
 	}
 }
 
-// Add adds selections since the previous sample to the current one. chosen is
-// ordered by layer, then by expert, beginning at index offset.
-func (d *Demand) Add(offset int, chosen []float64) {
-	if offset < 0 || offset+len(chosen) > d.shape.Layers*d.shape.Experts {
+// Add adds selections since the previous sample to the current one. They are ordered
+// by layer, then by expert, beginning at index offset.
+func (d *Demand) Add(offset int, selections []float64) {
+	if offset < 0 || offset+len(selections) > d.shape.Layers*d.shape.Experts {
 		return
 	}
-	for i, n := range chosen {
+	for i, n := range selections {
 		index := offset + i
 		d.fresh[index/d.shape.Experts][index%d.shape.Experts] += n
-		d.freshChoices += n
+		d.freshSelections += n
 	}
 }
 
 // Sample summarizes the selections of all ranks in one observation.
 type Sample struct {
-	// Choices is the number of selections. Distance and Jumped are set only if the
+	// Selections is the number of selections. Distance and Jumped are set only if the
 	// sample was compared with the estimate.
-	Choices float64
+	Selections float64
 	// Distance is the distance of the sample from the estimate, from 0 to 1: the
 	// fraction of the selections that differ. Baseline is the usual distance.
 	Distance, Baseline float64
@@ -81,12 +81,12 @@
 
 // EndSample merges the current sample into the estimate.
 func (d *Demand) EndSample(now time.Time) Sample {
-	sample := Sample{Choices: d.freshChoices, Baseline: d.baseline}
-	if sample.Choices == 0 {
+	sample := Sample{Selections: d.freshSelections, Baseline: d.baseline}
+	if sample.Selections == 0 {
 		return sample
 	}
 	d.decay(now)
-	if d.weight > 0 && sample.Choices >= minSampleChoices {
+	if d.weight > 0 && sample.Selections >= minSampleSelections {
 		d.detectJump(&sample)
 	}
 	d.merge()
@@ -136,8 +136,8 @@
 }
 
 func (d *Demand) merge() {
-	d.weight += d.freshChoices
-	d.freshChoices = 0
+	d.weight += d.freshSelections
+	d.freshSelections = 0
 	for layer, fresh := range d.fresh {
 		for expert, n := range fresh {
 			d.smoothed[layer][expert] += n
--- a/internal/experts/holder.go
+++ b/internal/experts/holder.go
@@ -52,8 +52,8 @@
 	mapTimeoutPerRank = 12 * time.Millisecond
 	// minExpertShare keeps the trigger finite for engines without experts.
 	minExpertShare = 0.01
-	// minPlanChoices is the number of expert selections that a plan needs.
-	minPlanChoices = 2000
+	// minPlanSelections is the number of expert selections that a plan needs.
+	minPlanSelections = 2000
 	// prepareTimeout is how long all ranks may take to prepare a map before the
 	// switch is aborted.
 	prepareTimeout = 4 * time.Second
@@ -182,7 +182,7 @@
 		}
 		h.highestFence = max(h.highestFence, observation.Fence)
 		h.state.HandleReport(h.now(), rank, observation.Report)
-		h.demand.Add(observation.Counts.Offset, observation.Counts.Chosen)
+		h.demand.Add(observation.Counts.Offset, observation.Counts.Selections)
 		if needExperts {
 			h.rankExperts[rank] = observation.Experts
 		}
@@ -198,7 +198,7 @@
 		return
 	}
 	h.log.WithFields(logrus.Fields{
-		"epoch": h.state.Epoch(), "choices": sample.Choices, "distance": sample.Distance, "usual": sample.Baseline,
+		"epoch": h.state.Epoch(), "choices": sample.Selections, "distance": sample.Distance, "usual": sample.Baseline,
 	}).Info("expert demand jumped, estimate reset")
 }
 
--- a/internal/experts/holder_test.go
+++ b/internal/experts/holder_test.go
@@ -58,7 +58,7 @@
 	defer r.mu.Unlock()
 	return Observation{
 		Report: RankReport{Group: "g", Epoch: 1, Rank: rank, Size: 2, Open: true, Pass: 8}, Fence: fence,
-		Counts:  Counts{Epoch: 1, Chosen: r.popularity},
+		Counts:  Counts{Epoch: 1, Selections: r.popularity},
 		Experts: [][]int{{2 * rank, 2*rank + 1}},
 	}, nil
 }
--- a/internal/experts/planning.go
+++ b/internal/experts/planning.go
@@ -33,7 +33,7 @@
 	if h.planned != nil && h.state.Stage() == StageIdle {
 		h.finishSwitch()
 	}
-	if !h.state.Ready() || h.placement == nil || h.placementEpoch != h.state.Epoch() || h.placementVersion != h.mapInUse() || h.demand.Weight() < minPlanChoices || !h.demand.Settled() {
+	if !h.state.Ready() || h.placement == nil || h.placementEpoch != h.state.Epoch() || h.placementVersion != h.mapInUse() || h.demand.Weight() < minPlanSelections || !h.demand.Settled() {
 		return
 	}
 	policy := h.policy()
--- a/internal/experts/switch.go
+++ b/internal/experts/switch.go
@@ -60,6 +60,7 @@
 	newMap                            [][][]int
 	// currentMap is the map in use, as far as it is known.
 	currentMap [][][]int
+	// confirmed marks the ranks that confirmed the command of the current stage.
 	confirmed  []bool
 	reports    []RankReport
 	reportedAt []time.Time
--- a/internal/experts/types.go
+++ b/internal/experts/types.go
@@ -31,10 +31,10 @@
 	Epoch int64
 	// StartID differs between starts of the engine. Each start counts from 0.
 	StartID int64
-	// Chosen is ordered by layer, then by expert, beginning at index Offset. Engines
+	// Selections is ordered by layer, then by expert, beginning at index Offset. Engines
 	// count from their start, agents from the holder's previous query.
-	Chosen []float64
-	Offset int
+	Selections []float64
+	Offset     int
 }
 
 // Operation is the kind of a Command.
--- a/internal/membership/exchange.go
+++ b/internal/membership/exchange.go
@@ -62,6 +62,7 @@
 	avoidUntil time.Time
 }
 
+// positions holds the next position of each topic.
 type positions struct{ operators, servers storelog.Position }
 
 // NewExchange returns the Exchange of the daemon self.
--- a/internal/membership/follower.go
+++ b/internal/membership/follower.go
@@ -20,7 +20,7 @@
 // Topic is a topic of the store.
 type Topic int
 
-// The topics that are followed.
+// The topics that are followed: the operators' configuration and the servers' registrations.
 const (
 	TopicOperators Topic = iota
 	TopicServers
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -34,7 +34,8 @@
 	mu        sync.Mutex
 	operators *topic
 	servers   *topic
-	decoded   map[string]*fleet.Server
+	// decoded holds the servers in use by ID.
+	decoded map[string]*fleet.Server
 	// lapsed maps the servers that are kept for outageGrace, or as long as a peer keeps them, to the
 	// time of their removal.
 	lapsed map[string]time.Time
--- a/internal/ranks/client.go
+++ b/internal/ranks/client.go
@@ -202,7 +202,7 @@
 		Report: decodeState(reply.GetState()), Fence: reply.GetFence(), Counts: experts.Counts{Offset: query.From},
 	}
 	for _, n := range reply.GetChosen() {
-		observation.Counts.Chosen = append(observation.Counts.Chosen, float64(n))
+		observation.Counts.Selections = append(observation.Counts.Selections, float64(n))
 	}
 	for _, layer := range reply.GetExperts() {
 		observation.Experts = append(observation.Experts, decodeExperts(layer))
--- a/internal/ranks/ranks_test.go
+++ b/internal/ranks/ranks_test.go
@@ -49,7 +49,7 @@
 	for i := range e.counts {
 		e.counts[i] += float64(i + 1)
 	}
-	return experts.Counts{Epoch: 1, Chosen: append([]float64(nil), e.counts...)}, nil
+	return experts.Counts{Epoch: 1, Selections: append([]float64(nil), e.counts...)}, nil
 }
 
 func (e *fakeEngine) Experts(context.Context, string) ([][]int, error) { return [][]int{{1}}, nil }
@@ -177,7 +177,7 @@
 		observation, err := c.Observe(bounded(5*time.Second), 1, 4, experts.Query{From: 2, To: 5, Experts: true})
 		Expect(err).NotTo(HaveOccurred())
 		Expect(observation.Report.Pass).To(Equal(int64(9)))
-		Expect(observation.Counts).To(Equal(experts.Counts{Offset: 2, Chosen: []float64{3, 4, 5}}))
+		Expect(observation.Counts).To(Equal(experts.Counts{Offset: 2, Selections: []float64{3, 4, 5}}))
 		Expect(observation.Experts).To(Equal([][]int{{1}}))
 		Expect(httpCalls).To(BeZero())
 	})
@@ -216,7 +216,7 @@
 			observe()
 			return c.isUnresponsive(1)
 		}, "10s").Should(BeFalse())
-		Expect(observe().Counts.Chosen).NotTo(BeEmpty(), "only the agent returns counts")
+		Expect(observe().Counts.Selections).NotTo(BeEmpty(), "only the agent returns counts")
 	})
 
 	It("go to the last known endpoints of a rank that isn't registered", func() {
--- a/internal/ranks/service.go
+++ b/internal/ranks/service.go
@@ -31,7 +31,7 @@
 		reply.Failure = err.Error()
 		return reply, nil
 	}
-	for _, n := range observation.Counts.Chosen {
+	for _, n := range observation.Counts.Selections {
 		reply.Chosen = append(reply.Chosen, uint32(n))
 	}
 	for _, layer := range observation.Experts {
