--- a/standins/platformdaemon/restoredstore_test.go
+++ b/standins/platformdaemon/restoredstore_test.go
@@ -102,8 +102,8 @@
 		addresses[id] = address
 	}
 	count := func(id string) int {
-		counts, _ := servers[id].counts()
-		return counts
+		total, _ := servers[id].counts()
+		return total
 	}
 	// served returns a function that sends requests and counts those that reach a server.
 	served := func(id string) func() int {
@@ -127,9 +127,9 @@
 
 	restoreStore(store)
 	register(store, "i-2", addresses["i-2"], "draining")
-	Eventually(served("i-2"), propagationTimeout).Should(BeZero(), "a server that leaves after the restore")
+	Eventually(served("i-2"), propagationTimeout).Should(BeZero(), "requests to a server that drains after the restore")
 	register(store, "i-3", addresses["i-3"], "ready")
-	Eventually(served("i-3"), propagationTimeout).Should(Equal(20), "a server that registers after the restore")
+	Eventually(served("i-3"), propagationTimeout).Should(Equal(20), "requests to a server that registers after the restore")
 	Expect(served("i-1")() + served("i-2")()).To(BeZero())
 }
 
--- a/standins/scenarios/operator_commands_test.go
+++ b/standins/scenarios/operator_commands_test.go
@@ -73,7 +73,7 @@
 			return
 		}
 		if time.Now().After(deadline) {
-			ts.Fatalf("%q: found is %t in:\n%s", args[0], neg, out)
+			ts.Fatalf("%q found: %t, in:\n%s", args[0], neg, out)
 		}
 		time.Sleep(50 * time.Millisecond)
 	}
