--- a/standins/bench/admission.go
+++ b/standins/bench/admission.go
@@ -37,18 +37,18 @@
 }
 
 type event struct {
-	at      time.Time
-	arrival *arrival
-	done    string
+	at         time.Time
+	arrival    *arrival
+	finishedID string
 }
 
 // arrival is a Poisson process of requests of one customer and class.
 type arrival struct {
-	customer string
-	class    config.Class
-	every    time.Duration
-	deadline time.Duration
-	cost     float64
+	customer     string
+	class        config.Class
+	meanInterval time.Duration
+	deadline     time.Duration
+	cost         float64
 }
 
 type eventHeap []event
@@ -96,11 +96,11 @@
 	}
 }
 
-func (s *serverSim) run(arrivals []*arrival, length time.Duration) {
+func (s *serverSim) run(arrivals []*arrival, duration time.Duration) {
 	for _, a := range arrivals {
 		heap.Push(&s.events, event{at: s.now, arrival: a})
 	}
-	end := s.now.Add(length)
+	end := s.now.Add(duration)
 	for len(s.events) > 0 {
 		e, ok := heap.Pop(&s.events).(event)
 		if !ok || e.at.After(end) {
@@ -108,19 +108,19 @@
 		}
 		s.now = e.at
 		if e.arrival != nil {
-			s.arrive(e.arrival)
+			s.offerRequest(e.arrival)
 		} else {
-			s.finish(e.done)
+			s.finishRequest(e.finishedID)
 		}
 		s.queue.TakeRefusals(s.now)
 		for _, request := range s.queue.Dispatch(s.now) {
-			s.begin(request)
+			s.startRequest(request)
 		}
 	}
 }
 
-func (s *serverSim) arrive(a *arrival) {
-	heap.Push(&s.events, event{at: s.now.Add(time.Duration(s.random.ExpFloat64() * float64(a.every))), arrival: a})
+func (s *serverSim) offerRequest(a *arrival) {
+	heap.Push(&s.events, event{at: s.now.Add(time.Duration(s.random.ExpFloat64() * float64(a.meanInterval))), arrival: a})
 	s.id++
 	id := fmt.Sprint(s.id)
 	request := admission.Request{
@@ -135,15 +135,15 @@
 	}
 }
 
-func (s *serverSim) begin(request admission.Request) {
+func (s *serverSim) startRequest(request admission.Request) {
 	s.running++
 	j := s.jobs[request.ID]
 	slowdown := max(1, float64(s.running)/simBatch)
 	took := time.Duration(j.cost * slowdown * float64(simTokenTime))
-	heap.Push(&s.events, event{at: s.now.Add(took), done: request.ID})
+	heap.Push(&s.events, event{at: s.now.Add(took), finishedID: request.ID})
 }
 
-func (s *serverSim) finish(id string) {
+func (s *serverSim) finishRequest(id string) {
 	s.running--
 	j := s.jobs[id]
 	delete(s.jobs, id)
@@ -167,8 +167,8 @@
 func arrivalsFor(load float64, fifo bool) []*arrival {
 	urgentRate := 0.1 * capacity / urgentCost
 	patientRate := (load - 0.1) * capacity / patientCost
-	urgent := &arrival{customer: "courier", class: config.ClassUrgent, every: interval(urgentRate), deadline: urgentDeadline, cost: urgentCost}
-	patient := &arrival{customer: "drafts", class: config.ClassPatient, every: interval(patientRate), deadline: 20 * time.Second, cost: patientCost}
+	urgent := &arrival{customer: "courier", class: config.ClassUrgent, meanInterval: interval(urgentRate), deadline: urgentDeadline, cost: urgentCost}
+	patient := &arrival{customer: "drafts", class: config.ClassPatient, meanInterval: interval(patientRate), deadline: 20 * time.Second, cost: patientCost}
 	if fifo {
 		urgent.customer, urgent.class = "all", config.ClassUrgent
 		patient.customer, patient.class = "all", config.ClassUrgent
@@ -178,7 +178,7 @@
 
 func interval(rate float64) time.Duration { return time.Duration(float64(time.Second) / rate) }
 
-const simLength = 2 * time.Minute
+const simDuration = 2 * time.Minute
 
 // Admission measures latency, fairness, goodput, throughput and memory of the admission
 // queue.
@@ -186,7 +186,7 @@
 	baseline := 0.0
 	for _, load := range []float64{0.5, 1, 2, 5} {
 		s := newServerSim(false, 1)
-		s.run(arrivalsFor(load, false), simLength)
+		s.run(arrivalsFor(load, false), simDuration)
 		name := fmt.Sprintf("admission/load-%g", load)
 		p99 := Quantile(s.urgentLatencies, 0.99)
 		if baseline == 0 {
@@ -206,7 +206,7 @@
 // with a FIFO queue.
 func (s *serverSim) fifoOnTime(load float64) float64 {
 	fifo := newFIFOSim(1)
-	fifo.run(load, simLength)
+	fifo.run(load, simDuration)
 	return 100 * float64(fifo.onTime) / float64(fifo.sent)
 }
 
@@ -218,7 +218,7 @@
 		if i == 0 {
 			rate *= 50
 		}
-		arrivals = append(arrivals, &arrival{customer: fmt.Sprint(i), class: config.ClassNormal, every: interval(rate), deadline: 5 * time.Second, cost: urgentCost})
+		arrivals = append(arrivals, &arrival{customer: fmt.Sprint(i), class: config.ClassNormal, meanInterval: interval(rate), deadline: 5 * time.Second, cost: urgentCost})
 	}
 	s.run(arrivals, time.Minute)
 	sum, squares := 0.0, 0.0
@@ -233,7 +233,7 @@
 	peak := 0.0
 	for _, load := range []float64{0.5, 1, 2, 5} {
 		s := newServerSim(false, 3)
-		s.run([]*arrival{{customer: "c", class: config.ClassNormal, every: interval(load * capacity / urgentCost), deadline: time.Second, cost: urgentCost}}, time.Minute)
+		s.run([]*arrival{{customer: "c", class: config.ClassNormal, meanInterval: interval(load * capacity / urgentCost), deadline: time.Second, cost: urgentCost}}, time.Minute)
 		good := s.goodput / 60 / capacity * 100
 		peak = max(peak, good)
 		r.Compare(fmt.Sprintf("admission/goodput-%g", load), good, "%", peak)
--- a/standins/bench/fifo.go
+++ b/standins/bench/fifo.go
@@ -14,14 +14,14 @@
 
 func newFIFOSim(seed uint64) *fifoSim { return &fifoSim{random: rand.New(rand.NewPCG(seed, 9))} }
 
-func (f *fifoSim) run(load float64, length time.Duration) {
+func (f *fifoSim) run(load float64, duration time.Duration) {
 	free := make([]time.Time, simBatch) // time at which each slot becomes free
 	for i := range free {
 		free[i] = simStart
 	}
 	arrivals := arrivalsFor(load, true)
 	next := []time.Time{simStart, simStart}
-	end := simStart.Add(length)
+	end := simStart.Add(duration)
 	for {
 		class := 0
 		if next[1].Before(next[0]) {
@@ -32,7 +32,7 @@
 			return
 		}
 		a := arrivals[class]
-		next[class] = now.Add(time.Duration(f.random.ExpFloat64() * float64(a.every)))
+		next[class] = now.Add(time.Duration(f.random.ExpFloat64() * float64(a.meanInterval)))
 		slot := 0
 		for i := range free {
 			if free[i].Before(free[slot]) {
--- a/standins/bench/limits.go
+++ b/standins/bench/limits.go
@@ -50,8 +50,8 @@
 }
 
 func (r *Reporter) limitsAt(daemons, servers int) {
-	name := func(what string) string {
-		return fmt.Sprintf("limits/%s_%d_daemons_%d_servers", what, daemons, servers)
+	name := func(figure string) string {
+		return fmt.Sprintf("limits/%s_%d_daemons_%d_servers", figure, daemons, servers)
 	}
 	s := limitsim.New(1, daemons, servers, limitsPerSecond)
 	spreadDemand(s, servers)
--- a/standins/bench/path.go
+++ b/standins/bench/path.go
@@ -56,14 +56,14 @@
 }
 
 // openLoop sends requests at a fixed rate and returns the latencies in milliseconds.
-func (t *target) openLoop(rate int, length time.Duration) ([]float64, error) {
+func (t *target) openLoop(rate int, duration time.Duration) ([]float64, error) {
 	var mu sync.Mutex
 	var times []float64
 	var lastErr error
 	var group sync.WaitGroup
 	ticker := time.NewTicker(time.Second / time.Duration(rate))
 	defer ticker.Stop()
-	for end := time.Now().Add(length); time.Now().Before(end); {
+	for end := time.Now().Add(duration); time.Now().Before(end); {
 		<-ticker.C
 		group.Go(func() {
 			start := time.Now()
@@ -83,7 +83,7 @@
 
 // closedLoop sends requests from a number of workers, each with one request at a time, and
 // returns the requests per second.
-func (t *target) closedLoop(workers int, length time.Duration, body string) (float64, error) {
+func (t *target) closedLoop(workers int, duration time.Duration, body string) (float64, error) {
 	var group sync.WaitGroup
 	var mu sync.Mutex
 	count := 0
@@ -91,7 +91,7 @@
 	start := time.Now()
 	for range workers {
 		group.Go(func() {
-			for time.Since(start) < length {
+			for time.Since(start) < duration {
 				err := t.post(body)
 				mu.Lock()
 				count++
@@ -112,7 +112,7 @@
 )
 
 // Path measures the throughput of entry and agent, the latency that they add to a direct
-// call, and their memory.
+// call, and the memory of the entry.
 func (r *Reporter) Path(bin string) error {
 	return withLogDir(func(dir string) error { return r.pathIn(bin, dir) })
 }
--- a/standins/bench/platformentry.go
+++ b/standins/bench/platformentry.go
@@ -28,9 +28,9 @@
 
 // platformBench sends requests to a backend server, directly and through an entry.
 type platformBench struct {
-	direct, through string
-	client          *http.Client
-	requests        atomic.Int64
+	directAddress, entryAddress string
+	client                      *http.Client
+	requests                    atomic.Int64
 }
 
 // PlatformEntry measures the latency and the CPU time that an entry on the users' platform
@@ -52,7 +52,7 @@
 	exited := make(chan error, 1)
 	go func() { exited <- platformdaemon.NewEntryDaemon(settings, nil, discardLog()).Run(ctx) }()
 	b := &platformBench{
-		direct: address, through: settings.Callers,
+		directAddress: address, entryAddress: settings.Callers,
 		client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: platformWorkers}},
 	}
 	err = b.measure(r, settings.Readiness)
@@ -76,22 +76,22 @@
 	for i := range free {
 		listener, err := net.Listen("tcp", ip+":0")
 		if err != nil {
-			return nil, errors.Wrap(err, "hosted bench")
+			return nil, errors.Wrap(err, "platform entry")
 		}
 		free[i] = listener.Addr().String()
 		if err := listener.Close(); err != nil {
-			return nil, errors.Wrap(err, "hosted bench")
+			return nil, errors.Wrap(err, "platform entry")
 		}
 	}
 	_, first, err := net.SplitHostPort(free[0])
 	if err != nil {
-		return nil, errors.Wrap(err, "hosted bench")
+		return nil, errors.Wrap(err, "platform entry")
 	}
 	firstPort, err := strconv.Atoi(first)
 	return &platform.Settings{
 		Daemon: "bench", IP: ip, Zone: "z", Store: store, Callers: free[1], Readiness: free[2], Control: free[3],
 		FirstPort: firstPort, Grace: platformDuration, RetryRatio: 1, RetryExtra: 1, RetryWindow: time.Second,
-	}, errors.Wrap(err, "hosted bench")
+	}, errors.Wrap(err, "platform entry")
 }
 
 func (b *platformBench) measure(r *Reporter, ready string) error {
@@ -106,14 +106,14 @@
 		{"requests", standin.BackendPlainPath, 1, "request"},
 		{"streams", standin.BackendStreamPath, platformEvents, "event"},
 	} {
-		if _, err := b.load(b.through, kind.path); err != nil { // warm up
+		if _, err := b.load(b.entryAddress, kind.path); err != nil { // warm up
 			return err
 		}
-		direct, err := b.load(b.direct, kind.path)
+		direct, err := b.load(b.directAddress, kind.path)
 		if err != nil {
 			return err
 		}
-		through, err := b.load(b.through, kind.path)
+		through, err := b.load(b.entryAddress, kind.path)
 		if err != nil {
 			return err
 		}
@@ -137,13 +137,13 @@
 			return nil
 		}
 	}
-	return errors.New("hosted bench: the entry did not become ready in time")
+	return errors.New("the entry did not become ready in time")
 }
 
 // sample contains the results of a load phase.
 type sample struct {
 	requests int
-	// times are in milliseconds, processor in seconds of this process.
+	// times are in milliseconds, cpu is the CPU time of this process in seconds.
 	times []float64
 	cpu   float64
 }
--- a/standins/bench/rebalance.go
+++ b/standins/bench/rebalance.go
@@ -156,7 +156,7 @@
 )
 
 // measureDemandJumps measures, for groups whose engines copy slowly, the planning time after a
-// jump of the demand and the skew after the first plan. The baseline is a plan that ignores
+// sudden change of the demand and the skew after the first plan. The baseline is a plan that ignores
 // the times for copies and switches.
 func (r *Reporter) measureDemandJumps() {
 	for _, shape := range []rebalance.Shape{
