--- a/internal/fleet/server.go
+++ b/internal/fleet/server.go
@@ -24,8 +24,9 @@
 	StartID int64
 	Service string
 	// Address is IP:port. Another service may reuse it after the server is removed.
-	Address  string
-	Zone     string
+	Address string
+	Zone    string
+	// Capacity is the number of requests that fully utilize the server.
 	Capacity int
 	// Leaving servers get no new requests.
 	Leaving bool
--- a/internal/membership/longpoll_test.go
+++ b/internal/membership/longpoll_test.go
@@ -20,64 +20,64 @@
 func (z *fakeZoneReader) ReadsDirectly() bool                         { return z.reads }
 
 var _ = Describe("long polls for configurations", func() {
-	var b *fixture
+	var f *fixture
 	var zone *fakeZoneReader
 	BeforeEach(func() {
-		b, zone = newFixture(), &fakeZoneReader{reads: true}
-		b.follower.zone = zone
-		b.store.append(TopicOperators, "config", "1")
-		Expect(b.read()).To(Succeed())
-		Expect(b.follower.restartRead).To(Receive(), "the store became reachable")
+		f, zone = newFixture(), &fakeZoneReader{reads: true}
+		f.follower.zone = zone
+		f.store.append(TopicOperators, "config", "1")
+		Expect(f.read()).To(Succeed())
+		Expect(f.follower.restartRead).To(Receive(), "the store became reachable")
 	})
 
 	It("wait some seconds at the zone's reader, and up to the store's limit at the other daemons", func() {
-		Expect(b.follower.configPollTimeout()).To(Equal(readerConfigPollTimeout))
+		Expect(f.follower.configPollTimeout()).To(Equal(readerConfigPollTimeout))
 		zone.reads = false
-		Expect(b.follower.configPollTimeout()).To(Equal(maxConfigPollTimeout))
+		Expect(f.follower.configPollTimeout()).To(Equal(maxConfigPollTimeout))
 	})
 
 	It("are shortened for a while after the records are no longer in the store", func() {
-		b.store.first[TopicOperators] = 1
-		b.store.append(TopicOperators, "config", "2")
-		b.members.operators.next = 0
-		Expect(b.read()).To(Succeed())
-		Expect(b.follower.configPollTimeout()).To(Equal(longpoll.UntrustedWait))
-		Expect(b.logs.AllEntries()).To(ContainElement(HaveField("Message", ContainSubstring("not trusted"))))
-		b.now = b.now.Add(time.Minute)
-		Expect(b.follower.configPollTimeout()).To(Equal(readerConfigPollTimeout))
+		f.store.first[TopicOperators] = 1
+		f.store.append(TopicOperators, "config", "2")
+		f.members.operators.next = 0
+		Expect(f.read()).To(Succeed())
+		Expect(f.follower.configPollTimeout()).To(Equal(longpoll.UntrustedWait))
+		Expect(f.logs.AllEntries()).To(ContainElement(HaveField("Message", ContainSubstring("not trusted"))))
+		f.now = f.now.Add(time.Minute)
+		Expect(f.follower.configPollTimeout()).To(Equal(readerConfigPollTimeout))
 	})
 
 	It("are restarted when a peer is ahead, unless the read catches up by itself", func() {
-		b.follower.readPosition.Store(1)
-		b.follower.handlePeerAhead(1)
-		Consistently(b.follower.restartRead, 2*longpoll.PeerAheadGrace).ShouldNot(Receive())
-		b.members.onPeerAhead(2)
-		Eventually(b.follower.restartRead, "5s").Should(Receive())
-		Expect(b.follower.configPollTimeout()).To(Equal(longpoll.UntrustedWait))
+		f.follower.readPosition.Store(1)
+		f.follower.handlePeerAhead(1)
+		Consistently(f.follower.restartRead, 2*longpoll.PeerAheadGrace).ShouldNot(Receive())
+		f.members.onPeerAhead(2)
+		Eventually(f.follower.restartRead, "5s").Should(Receive())
+		Expect(f.follower.configPollTimeout()).To(Equal(longpoll.UntrustedWait))
 	})
 
 	It("confirm the configuration as of the last successful read, here or at a peer that knows as much", func() {
-		b.now = b.now.Add(4 * time.Second)
-		Expect(b.members.ConfigAge()).To(Equal(4 * time.Second))
+		f.now = f.now.Add(4 * time.Second)
+		Expect(f.members.ConfigAge()).To(Equal(4 * time.Second))
 		other := newFixture()
-		other.store = b.store
-		other.follower.store = b.store
-		other.now = b.now
+		other.store = f.store
+		other.follower.store = f.store
+		other.now = f.now
 		Expect(other.read()).To(Succeed())
 		other.now = other.now.Add(time.Second)
 		reply, err := NewExchange(other.members, Peer{}, nil, nil, other.follower.log).Exchange(context.Background(), &peerrpc.ExchangeRequest{OperatorsNext: 1})
 		Expect(err).NotTo(HaveOccurred())
-		b.now = other.now
-		NewExchange(b.members, Peer{}, nil, nil, b.follower.log).mergeReply(reply, b.now, "peer")
-		Expect(b.members.ConfigAge()).To(BeNumerically("~", time.Second, 2*time.Millisecond))
+		f.now = other.now
+		NewExchange(f.members, Peer{}, nil, nil, f.follower.log).mergeReply(reply, f.now, "peer")
+		Expect(f.members.ConfigAge()).To(BeNumerically("~", time.Second, 2*time.Millisecond))
 	})
 
 	It("aren't shortened after one was interrupted to restart", func() {
-		blocked := &blockingStore{fakeStore: b.store}
-		b.follower.store = blocked
-		signal(b.follower.restartRead)
-		Expect(b.follower.readConfig(context.Background())).To(MatchError(errReadRestarted))
-		Expect(b.follower.configPollTimeout()).To(Equal(readerConfigPollTimeout))
+		blocked := &blockingStore{fakeStore: f.store}
+		f.follower.store = blocked
+		signal(f.follower.restartRead)
+		Expect(f.follower.readConfig(context.Background())).To(MatchError(errReadRestarted))
+		Expect(f.follower.configPollTimeout()).To(Equal(readerConfigPollTimeout))
 	})
 })
 
--- a/internal/membership/malformed_test.go
+++ b/internal/membership/malformed_test.go
@@ -14,25 +14,25 @@
 
 var _ = Describe("malformed registrations", func() {
 	It("are dropped and logged once", func() {
-		b := newFixture()
-		b.store.append(TopicServers, "a", "1.1.1.1:1")
-		b.store.append(TopicServers, "b", "1.1.1.2:1")
-		Expect(b.read()).To(Succeed())
+		f := newFixture()
+		f.store.append(TopicServers, "a", "1.1.1.1:1")
+		f.store.append(TopicServers, "b", "1.1.1.2:1")
+		Expect(f.read()).To(Succeed())
 		for range 3 {
-			b.store.append(TopicServers, "a", " no address")
-			Expect(b.read()).To(Succeed())
+			f.store.append(TopicServers, "a", " no address")
+			Expect(f.read()).To(Succeed())
 		}
-		Expect(b.ids()).To(ConsistOf("b"))
+		Expect(f.ids()).To(ConsistOf("b"))
 		refusals := 0
-		for _, entry := range b.logs.AllEntries() {
+		for _, entry := range f.logs.AllEntries() {
 			if strings.Contains(entry.Message, "registration refused") {
 				refusals++
 			}
 		}
 		Expect(refusals).To(Equal(1))
-		b.store.append(TopicServers, "a", "1.1.1.1:1")
-		Expect(b.read()).To(Succeed())
-		Expect(b.ids()).To(ConsistOf("a", "b"))
+		f.store.append(TopicServers, "a", "1.1.1.1:1")
+		Expect(f.read()).To(Succeed())
+		Expect(f.ids()).To(ConsistOf("a", "b"))
 	})
 
 	// The result is the same whether the records are read from the store in any batches or pulled
@@ -71,9 +71,9 @@
 			source := NewExchange(here.members, Peer{}, nil, nil, log)
 			_, servers := source.changesSince(&peerrpc.ExchangeRequest{OperatorsNext: -1, ServersNext: -1})
 			NewExchange(there.members, Peer{}, nil, nil, log).mergeReply(&peerrpc.ExchangeReply{Servers: servers}, there.now, "peer")
-			for _, b := range []*fixture{here, there} {
+			for _, f := range []*fixture{here, there} {
 				got := map[string]bool{}
-				for _, id := range b.ids() {
+				for _, id := range f.ids() {
 					got[id] = true
 				}
 				if !maps.Equal(got, want) {
--- a/internal/membership/membership_suite_test.go
+++ b/internal/membership/membership_suite_test.go
@@ -115,23 +115,23 @@
 
 func newFixture() *fixture {
 	logger, logs := logrustest.NewNullLogger()
-	b := &fixture{now: time.Unix(1000, 0), store: newFakeStore(), logs: logs}
+	f := &fixture{now: time.Unix(1000, 0), store: newFakeStore(), logs: logs}
 	log := logrus.NewEntry(logger)
-	b.members = New(plainDecoder{}, func() time.Time { return b.now }, log)
-	b.follower = NewFollower(b.members, b.store, nil, 0, log)
-	return b
+	f.members = New(plainDecoder{}, func() time.Time { return f.now }, log)
+	f.follower = NewFollower(f.members, f.store, nil, 0, log)
+	return f
 }
 
-func (b *fixture) read() error {
-	config := b.follower.readConfig(context.Background())
-	servers := b.follower.readServers(context.Background())
-	b.follower.recordStoreResult(servers)
+func (f *fixture) read() error {
+	config := f.follower.readConfig(context.Background())
+	servers := f.follower.readServers(context.Background())
+	f.follower.recordStoreResult(servers)
 	return errors.Join(config, servers)
 }
 
-func (b *fixture) ids() []string {
+func (f *fixture) ids() []string {
 	var ids []string
-	for id := range b.members.Servers().All() {
+	for id := range f.members.Servers().All() {
 		ids = append(ids, id)
 	}
 	return ids
@@ -139,132 +139,132 @@
 
 var _ = Describe("following the store", func() {
 	It("has no configuration and no servers before the first read", func() {
-		b := newFixture()
-		Expect(b.members.Config()).To(BeNil())
-		Expect(b.members.Servers()).To(BeNil())
-		b.store.append(TopicOperators, "config", "4")
-		Expect(b.read()).To(Succeed())
-		Expect(b.members.Config().Version).To(Equal(int64(4)))
-		Expect(b.members.Servers()).NotTo(BeNil())
+		f := newFixture()
+		Expect(f.members.Config()).To(BeNil())
+		Expect(f.members.Servers()).To(BeNil())
+		f.store.append(TopicOperators, "config", "4")
+		Expect(f.read()).To(Succeed())
+		Expect(f.members.Config().Version).To(Equal(int64(4)))
+		Expect(f.members.Servers()).NotTo(BeNil())
 	})
 
 	It("applies newer configurations and ignores older ones", func() {
-		b := newFixture()
-		b.store.append(TopicOperators, "config", "4")
-		Expect(b.read()).To(Succeed())
-		b.store.append(TopicOperators, "config", "9")
-		b.store.append(TopicOperators, "config", "7")
-		Expect(b.read()).To(Succeed())
-		Expect(b.members.Config().Version).To(Equal(int64(9)))
+		f := newFixture()
+		f.store.append(TopicOperators, "config", "4")
+		Expect(f.read()).To(Succeed())
+		f.store.append(TopicOperators, "config", "9")
+		f.store.append(TopicOperators, "config", "7")
+		Expect(f.read()).To(Succeed())
+		Expect(f.members.Config().Version).To(Equal(int64(9)))
 	})
 
 	It("keeps the current configuration and logs an error when a new one is invalid", func() {
-		b := newFixture()
-		b.store.append(TopicOperators, "config", "4")
-		Expect(b.read()).To(Succeed())
-		b.store.append(TopicOperators, "config", "rubbish")
-		b.store.append(TopicOperators, "other", "x")
-		Expect(b.read()).To(Succeed())
-		Expect(b.members.Config().Version).To(Equal(int64(4)))
-		Expect(b.logs.LastEntry().Message).To(ContainSubstring("refused"))
+		f := newFixture()
+		f.store.append(TopicOperators, "config", "4")
+		Expect(f.read()).To(Succeed())
+		f.store.append(TopicOperators, "config", "rubbish")
+		f.store.append(TopicOperators, "other", "x")
+		Expect(f.read()).To(Succeed())
+		Expect(f.members.Config().Version).To(Equal(int64(4)))
+		Expect(f.logs.LastEntry().Message).To(ContainSubstring("refused"))
 	})
 
 	It("tracks servers that register, leave and are removed", func() {
-		b := newFixture()
-		b.store.append(TopicServers, "a", "1.1.1.1:1")
-		Expect(b.read()).To(Succeed())
-		b.store.append(TopicServers, "a", "1.1.1.1:1 leaving")
-		Expect(b.read()).To(Succeed())
-		Expect(b.members.Servers().ByID("a").Leaving).To(BeTrue())
-		b.store.append(TopicServers, "a", "")
-		Expect(b.read()).To(Succeed())
-		Expect(b.ids()).To(BeEmpty())
+		f := newFixture()
+		f.store.append(TopicServers, "a", "1.1.1.1:1")
+		Expect(f.read()).To(Succeed())
+		f.store.append(TopicServers, "a", "1.1.1.1:1 leaving")
+		Expect(f.read()).To(Succeed())
+		Expect(f.members.Servers().ByID("a").Leaving).To(BeTrue())
+		f.store.append(TopicServers, "a", "")
+		Expect(f.read()).To(Succeed())
+		Expect(f.ids()).To(BeEmpty())
 	})
 
 	It("reads a snapshot when its position is gone, and removes servers that are missing from it", func() {
-		b := newFixture()
-		b.store.append(TopicServers, "a", "1.1.1.1:1")
-		b.store.append(TopicServers, "b", "1.1.1.2:1")
-		Expect(b.read()).To(Succeed())
-		b.store.append(TopicServers, "a", "")
-		b.store.append(TopicServers, "c", "1.1.1.3:1")
-		b.store.first[TopicServers] = 4
-		Expect(b.read()).To(Succeed())
-		Expect(b.ids()).To(ConsistOf("b", "c"))
+		f := newFixture()
+		f.store.append(TopicServers, "a", "1.1.1.1:1")
+		f.store.append(TopicServers, "b", "1.1.1.2:1")
+		Expect(f.read()).To(Succeed())
+		f.store.append(TopicServers, "a", "")
+		f.store.append(TopicServers, "c", "1.1.1.3:1")
+		f.store.first[TopicServers] = 4
+		Expect(f.read()).To(Succeed())
+		Expect(f.ids()).To(ConsistOf("b", "c"))
 	})
 
 	Describe("around a store outage", func() {
 		It("keeps a lapsed server for a grace period", func() {
-			b := newFixture()
-			b.store.append(TopicServers, "a", "1.1.1.1:1")
-			b.store.append(TopicServers, "b", "1.1.1.2:1")
-			Expect(b.read()).To(Succeed())
-			b.store.err = errors.New("down")
-			Expect(b.read()).NotTo(Succeed())
-			b.store.err = nil
-			b.store.append(TopicServers, "a", "")
-			b.store.append(TopicServers, "b", "")
-			Expect(b.read()).To(Succeed())
-			Expect(b.ids()).To(ConsistOf("a", "b"))
-			b.store.append(TopicServers, "a", "1.1.1.1:1")
-			b.now = b.now.Add(outageGrace + time.Millisecond)
-			Expect(b.read()).To(Succeed())
-			Expect(b.ids()).To(ConsistOf("a"))
+			f := newFixture()
+			f.store.append(TopicServers, "a", "1.1.1.1:1")
+			f.store.append(TopicServers, "b", "1.1.1.2:1")
+			Expect(f.read()).To(Succeed())
+			f.store.err = errors.New("down")
+			Expect(f.read()).NotTo(Succeed())
+			f.store.err = nil
+			f.store.append(TopicServers, "a", "")
+			f.store.append(TopicServers, "b", "")
+			Expect(f.read()).To(Succeed())
+			Expect(f.ids()).To(ConsistOf("a", "b"))
+			f.store.append(TopicServers, "a", "1.1.1.1:1")
+			f.now = f.now.Add(outageGrace + time.Millisecond)
+			Expect(f.read()).To(Succeed())
+			Expect(f.ids()).To(ConsistOf("a"))
 		})
 
 		It("removes a server at once that is deleted after the first read that follows", func() {
-			b := newFixture()
-			b.store.append(TopicServers, "a", "1.1.1.1:1")
-			Expect(b.read()).To(Succeed())
-			b.store.err = errors.New("down")
-			Expect(b.read()).NotTo(Succeed())
-			b.store.err = nil
-			Expect(b.read()).To(Succeed())
-			b.store.append(TopicServers, "a", "")
-			Expect(b.read()).To(Succeed())
-			Expect(b.ids()).To(BeEmpty())
+			f := newFixture()
+			f.store.append(TopicServers, "a", "1.1.1.1:1")
+			Expect(f.read()).To(Succeed())
+			f.store.err = errors.New("down")
+			Expect(f.read()).NotTo(Succeed())
+			f.store.err = nil
+			Expect(f.read()).To(Succeed())
+			f.store.append(TopicServers, "a", "")
+			Expect(f.read()).To(Succeed())
+			Expect(f.ids()).To(BeEmpty())
 		})
 
 		It("removes a server at once when only this daemon lost the store", func() {
-			b, other := newFixture(), newFixture()
-			b.store.append(TopicServers, "a", "1.1.1.1:1")
-			Expect(b.read()).To(Succeed())
+			f, other := newFixture(), newFixture()
+			f.store.append(TopicServers, "a", "1.1.1.1:1")
+			Expect(f.read()).To(Succeed())
 			other.store.append(TopicServers, "a", "1.1.1.1:1")
 			other.store.append(TopicServers, "a", "")
 			Expect(other.read()).To(Succeed())
-			b.store.err = errors.New("refused")
-			Expect(b.read()).NotTo(Succeed())
+			f.store.err = errors.New("refused")
+			Expect(f.read()).NotTo(Succeed())
 			exchange := NewExchange(other.members, Peer{}, nil, http.DefaultClient, other.follower.log)
 			server := httptest.NewServer(peerrpc.NewMembershipServer(exchange))
 			DeferCleanup(server.Close)
-			own := NewExchange(b.members, Peer{}, nil, http.DefaultClient, b.follower.log)
+			own := NewExchange(f.members, Peer{}, nil, http.DefaultClient, f.follower.log)
 			Expect(own.Pull(context.Background(), strings.TrimPrefix(server.URL, "http://"))).To(Succeed())
-			Expect(b.ids()).To(BeEmpty())
+			Expect(f.ids()).To(BeEmpty())
 		})
 
 		It("removes a leaving server at once", func() {
-			b := newFixture()
-			b.store.append(TopicServers, "a", "1.1.1.1:1 leaving")
-			Expect(b.read()).To(Succeed())
-			b.store.err = errors.New("down")
-			Expect(b.read()).NotTo(Succeed())
-			b.store.err = nil
-			b.store.append(TopicServers, "a", "")
-			Expect(b.read()).To(Succeed())
-			Expect(b.ids()).To(BeEmpty())
+			f := newFixture()
+			f.store.append(TopicServers, "a", "1.1.1.1:1 leaving")
+			Expect(f.read()).To(Succeed())
+			f.store.err = errors.New("down")
+			Expect(f.read()).NotTo(Succeed())
+			f.store.err = nil
+			f.store.append(TopicServers, "a", "")
+			Expect(f.read()).To(Succeed())
+			Expect(f.ids()).To(BeEmpty())
 		})
 
 		It("logs each transition once", func() {
-			b := newFixture()
-			Expect(b.read()).To(Succeed())
-			b.store.err = errors.New("down")
+			f := newFixture()
+			Expect(f.read()).To(Succeed())
+			f.store.err = errors.New("down")
 			for range 3 {
-				Expect(b.read()).NotTo(Succeed())
+				Expect(f.read()).NotTo(Succeed())
 			}
-			b.store.err = nil
-			Expect(b.read()).To(Succeed())
+			f.store.err = nil
+			Expect(f.read()).To(Succeed())
 			var messages []string
-			for _, entry := range b.logs.AllEntries() {
+			for _, entry := range f.logs.AllEntries() {
 				messages = append(messages, entry.Message)
 			}
 			Expect(messages).To(Equal([]string{"store reachable", "store unreachable", "store reachable"}))
@@ -282,8 +282,8 @@
 
 var _ = Describe("pulls between daemons", func() {
 	// serve serves an exchange on a loopback port and returns its address.
-	serve := func(b *fixture) (string, *Exchange) {
-		e := NewExchange(b.members, Peer{}, nil, http.DefaultClient, logrus.NewEntry(logrus.New()))
+	serve := func(f *fixture) (string, *Exchange) {
+		e := NewExchange(f.members, Peer{}, nil, http.DefaultClient, logrus.NewEntry(logrus.New()))
 		server := httptest.NewServer(peerrpc.NewMembershipServer(e))
 		DeferCleanup(server.Close)
 		return strings.TrimPrefix(server.URL, "http://"), e
--- a/internal/membership/reader_test.go
+++ b/internal/membership/reader_test.go
@@ -55,16 +55,16 @@
 
 var _ = Describe("registrations of a reader whose VM was suspended", func() {
 	It("are sent with an age that includes the suspension", func() {
-		b := newFixture()
+		f := newFixture()
 		boot := time.Hour
-		clk, err := clock.NewFrom(func() time.Time { return b.now }, func() (time.Duration, error) { return boot, nil })
+		clk, err := clock.NewFrom(func() time.Time { return f.now }, func() (time.Duration, error) { return boot, nil })
 		Expect(err).NotTo(HaveOccurred())
-		b.members.now = clk.Now
-		b.store.append(TopicServers, "a", "1.1.1.1:1")
-		Expect(b.read()).To(Succeed())
+		f.members.now = clk.Now
+		f.store.append(TopicServers, "a", "1.1.1.1:1")
+		Expect(f.read()).To(Succeed())
 		boot += 5 * time.Second // suspended
-		b.now, boot = b.now.Add(time.Second), boot+time.Second
-		exchange := NewExchange(b.members, Peer{Zone: "z"}, nil, nil, b.members.log)
+		f.now, boot = f.now.Add(time.Second), boot+time.Second
+		exchange := NewExchange(f.members, Peer{Zone: "z"}, nil, nil, f.members.log)
 		reply, err := exchange.Exchange(context.Background(), &peerrpc.ExchangeRequest{})
 		Expect(err).NotTo(HaveOccurred())
 		Expect(reply.GetServersAgeMs()).To(BeNumerically(">=", 6000))
--- a/internal/membership/restoredstore_property_test.go
+++ b/internal/membership/restoredstore_property_test.go
@@ -43,37 +43,37 @@
 	copied [topicCount]int
 }
 
-func (w *restoredStoreModel) start(i int) {
-	b := newFixture()
-	b.store, b.follower.store = w.store, w.store
-	w.daemons[i], w.observed[i], w.versions[i] = b, map[string]stage{}, 0
+func (m *restoredStoreModel) start(i int) {
+	f := newFixture()
+	f.store, f.follower.store = m.store, m.store
+	m.daemons[i], m.observed[i], m.versions[i] = f, map[string]stage{}, 0
 }
 
-func (w *restoredStoreModel) writeConfig() {
-	w.version++
-	w.store.append(TopicOperators, "config", strconv.FormatInt(w.version, 10))
+func (m *restoredStoreModel) writeConfig() {
+	m.version++
+	m.store.append(TopicOperators, "config", strconv.FormatInt(m.version, 10))
 }
 
 // register writes the registration of a server at its stage.
-func (w *restoredStoreModel) register(id string) {
+func (m *restoredStoreModel) register(id string) {
 	address := "1.1.1.1:" + id[1:]
-	w.store.append(TopicServers, id, map[stage]string{up: address, leaving: address + " leaving"}[w.actual[id]])
+	m.store.append(TopicServers, id, map[stage]string{up: address, leaving: address + " leaving"}[m.actual[id]])
 }
 
 // advanceServer moves a server to its next stage.
-func (w *restoredStoreModel) advanceServer(t *rapid.T) {
+func (m *restoredStoreModel) advanceServer(t *rapid.T) {
 	id := fmt.Sprint("s", rapid.IntRange(1, 4).Draw(t, "server"))
-	if w.actual[id] < gone {
-		w.actual[id]++
-		w.register(id)
+	if m.actual[id] < gone {
+		m.actual[id]++
+		m.register(id)
 	}
 }
 
 // read makes a daemon read both topics once, and again after a restarted read.
-func (w *restoredStoreModel) read(t *rapid.T, i int) {
-	err := w.daemons[i].read()
+func (m *restoredStoreModel) read(t *rapid.T, i int) {
+	err := m.daemons[i].read()
 	for errors.Is(err, errReadRestarted) {
-		err = w.daemons[i].read()
+		err = m.daemons[i].read()
 	}
 	if err != nil {
 		t.Fatal(err)
@@ -81,65 +81,65 @@
 }
 
 // checkMonotonic checks that no configuration and no server has reverted at a daemon.
-func (w *restoredStoreModel) checkMonotonic(t *rapid.T, i int) {
-	for _, topic := range []*topic{w.daemons[i].members.operators, w.daemons[i].members.servers} {
+func (m *restoredStoreModel) checkMonotonic(t *rapid.T, i int) {
+	for _, topic := range []*topic{m.daemons[i].members.operators, m.daemons[i].members.servers} {
 		for key, r := range topic.records {
 			if r.Position.Era() != topic.next.Era() {
 				t.Fatalf("daemon %d has %s at %s in a topic up to %s", i, key, r.Position, topic.next)
 			}
 		}
 	}
-	config, servers := w.daemons[i].members.Config(), w.daemons[i].members.Servers()
+	config, servers := m.daemons[i].members.Config(), m.daemons[i].members.Servers()
 	if config != nil {
-		if config.Version < w.versions[i] {
-			t.Fatalf("daemon %d reverted from configuration %d to %d", i, w.versions[i], config.Version)
+		if config.Version < m.versions[i] {
+			t.Fatalf("daemon %d reverted from configuration %d to %d", i, m.versions[i], config.Version)
 		}
-		w.versions[i] = config.Version
+		m.versions[i] = config.Version
 	}
 	if servers == nil {
 		return
 	}
-	for id, truth := range w.actual {
+	for id, truth := range m.actual {
 		now := unknown
 		if server := servers.ByID(id); server != nil {
 			now = up
 			if server.Leaving {
 				now = leaving
 			}
-		} else if w.observed[i][id] > unknown && truth == gone {
+		} else if m.observed[i][id] > unknown && truth == gone {
 			now = gone
 		}
-		if now != unknown && now < w.observed[i][id] {
-			t.Fatalf("daemon %d reverted server %s from stage %d to %d", i, id, w.observed[i][id], now)
+		if now != unknown && now < m.observed[i][id] {
+			t.Fatalf("daemon %d reverted server %s from stage %d to %d", i, id, m.observed[i][id], now)
 		}
-		w.observed[i][id] = max(now, w.observed[i][id])
+		m.observed[i][id] = max(now, m.observed[i][id])
 	}
 }
 
 // checkConvergence writes lost records again, as operators and servers do, and checks that all
 // daemons converge on them.
-func (w *restoredStoreModel) checkConvergence(t *rapid.T) {
-	w.store.append(TopicOperators, "config", strconv.FormatInt(w.version, 10))
-	for id := range w.actual {
-		w.register(id)
+func (m *restoredStoreModel) checkConvergence(t *rapid.T) {
+	m.store.append(TopicOperators, "config", strconv.FormatInt(m.version, 10))
+	for id := range m.actual {
+		m.register(id)
 	}
 	want := map[string]bool{}
-	for id, stage := range w.actual {
+	for id, stage := range m.actual {
 		if stage < gone {
 			want[id] = stage == leaving
 		}
 	}
-	for i, b := range w.daemons {
+	for i, f := range m.daemons {
 		for range 2 {
-			w.read(t, i)
-			b.now = b.now.Add(outageGrace + departureHold)
+			m.read(t, i)
+			f.now = f.now.Add(outageGrace + departureHold)
 		}
 		got := map[string]bool{}
-		for id, server := range b.members.Servers().All() {
+		for id, server := range f.members.Servers().All() {
 			got[id] = server.Leaving
 		}
-		if !maps.Equal(got, want) || b.members.Config().Version != w.version {
-			t.Fatalf("daemon %d has configuration %d and servers %v, want %d and %v", i, b.members.Config().Version, got, w.version, want)
+		if !maps.Equal(got, want) || f.members.Config().Version != m.version {
+			t.Fatalf("daemon %d has configuration %d and servers %v, want %d and %v", i, f.members.Config().Version, got, m.version, want)
 		}
 	}
 }
@@ -148,34 +148,34 @@
 	RegisterTestingT(t)
 	rapid.Check(t, func(t *rapid.T) {
 		const daemons = 3
-		w := &restoredStoreModel{
+		m := &restoredStoreModel{
 			store: newFakeStore(), daemons: make([]*fixture, daemons), versions: make([]int64, daemons),
 			actual: map[string]stage{}, observed: make([]map[string]stage, daemons),
 		}
 		for i := range daemons {
-			w.start(i)
+			m.start(i)
 		}
-		w.writeConfig()
+		m.writeConfig()
 		drawDaemon := func(t *rapid.T) int { return rapid.IntRange(0, daemons-1).Draw(t, "daemon") }
 		read := func(t *rapid.T) {
 			i := drawDaemon(t)
-			w.read(t, i)
-			w.checkMonotonic(t, i)
+			m.read(t, i)
+			m.checkMonotonic(t, i)
 		}
 		pull := func(t *rapid.T) {
 			i := drawDaemon(t)
-			pullFrom(w.daemons[i], w.daemons[(i+1)%daemons])
-			w.checkMonotonic(t, i)
+			pullFrom(m.daemons[i], m.daemons[(i+1)%daemons])
+			m.checkMonotonic(t, i)
 		}
 		t.Repeat(map[string]func(*rapid.T){
-			"configure": func(*rapid.T) { w.writeConfig() }, "lifecycle": w.advanceServer, "lifecycle again": w.advanceServer,
+			"configure": func(*rapid.T) { m.writeConfig() }, "lifecycle": m.advanceServer, "lifecycle again": m.advanceServer,
 			"read": read, "read again": read, "ask peer": pull, "ask peer again": pull,
 			"copy": func(*rapid.T) {
-				w.copied = [topicCount]int{len(w.store.records[TopicOperators]), len(w.store.records[TopicServers])}
+				m.copied = [topicCount]int{len(m.store.records[TopicOperators]), len(m.store.records[TopicServers])}
 			},
-			"come back from copy": func(*rapid.T) { w.store.restoreCopy(w.copied[TopicOperators], w.copied[TopicServers]) },
-			"start":               func(t *rapid.T) { w.start(drawDaemon(t)) },
+			"come back from copy": func(*rapid.T) { m.store.restoreCopy(m.copied[TopicOperators], m.copied[TopicServers]) },
+			"start":               func(t *rapid.T) { m.start(drawDaemon(t)) },
 		})
-		w.checkConvergence(t)
+		m.checkConvergence(t)
 	})
 }
--- a/internal/membership/restoredstore_test.go
+++ b/internal/membership/restoredstore_test.go
@@ -25,132 +25,132 @@
 }
 
 var _ = Describe("a store restored from an older copy", func() {
-	var b *fixture
+	var f *fixture
 	BeforeEach(func() {
-		b = newFixture()
+		f = newFixture()
 		for _, version := range []string{"1", "2", "3"} {
-			b.store.append(TopicOperators, "config", version)
+			f.store.append(TopicOperators, "config", version)
 		}
-		b.store.append(TopicServers, "a", "1.1.1.1:1")
-		b.store.append(TopicServers, "b", "1.1.1.2:1")
-		b.store.append(TopicServers, "c", "1.1.1.3:1")
-		Expect(b.read()).To(Succeed())
-		b.store.append(TopicServers, "b", "1.1.1.2:1 leaving")
-		b.store.append(TopicServers, "c", "")
-		b.store.append(TopicServers, "d", "1.1.1.4:1")
-		Expect(b.read()).To(Succeed())
-		Expect(b.ids()).To(ConsistOf("a", "b", "d"))
+		f.store.append(TopicServers, "a", "1.1.1.1:1")
+		f.store.append(TopicServers, "b", "1.1.1.2:1")
+		f.store.append(TopicServers, "c", "1.1.1.3:1")
+		Expect(f.read()).To(Succeed())
+		f.store.append(TopicServers, "b", "1.1.1.2:1 leaving")
+		f.store.append(TopicServers, "c", "")
+		f.store.append(TopicServers, "d", "1.1.1.4:1")
+		Expect(f.read()).To(Succeed())
+		Expect(f.ids()).To(ConsistOf("a", "b", "d"))
 	})
-	inForce := func(b *fixture) int64 { return b.members.Config().Version }
+	inForce := func(f *fixture) int64 { return f.members.Config().Version }
 
 	It("doesn't revert the configuration, and delivers newer ones at reused offsets", func() {
-		b.store.restoreCopy(1, 3)
-		Expect(b.read()).To(Succeed())
-		Expect(inForce(b)).To(Equal(int64(3)))
-		b.store.append(TopicOperators, "config", "4")
-		Expect(b.read()).To(Succeed())
-		Expect(inForce(b)).To(Equal(int64(4)))
-		Expect(b.members.positions().operators).To(Equal(storelog.NewPosition(1, 2)))
+		f.store.restoreCopy(1, 3)
+		Expect(f.read()).To(Succeed())
+		Expect(inForce(f)).To(Equal(int64(3)))
+		f.store.append(TopicOperators, "config", "4")
+		Expect(f.read()).To(Succeed())
+		Expect(inForce(f)).To(Equal(int64(4)))
+		Expect(f.members.positions().operators).To(Equal(storelog.NewPosition(1, 2)))
 	})
 
 	It("keeps leaving and removed servers so, and lets missing ones register again", func() {
-		b.store.restoreCopy(1, 3)
-		Expect(b.read()).To(Succeed())
-		Expect(b.ids()).To(ConsistOf("a", "b", "d"))
-		Expect(b.members.Servers().ByID("b").Leaving).To(BeTrue())
-		b.now = b.now.Add(outageGrace + time.Millisecond)
-		Expect(b.read()).To(Succeed())
-		Expect(b.ids()).To(ConsistOf("a", "b"))
-		b.store.append(TopicServers, "d", "1.1.1.4:1")
-		b.now = b.now.Add(departureHold)
-		Expect(b.read()).To(Succeed())
-		Expect(b.ids()).To(ConsistOf("a", "b", "c", "d"), "still listed by the registry")
+		f.store.restoreCopy(1, 3)
+		Expect(f.read()).To(Succeed())
+		Expect(f.ids()).To(ConsistOf("a", "b", "d"))
+		Expect(f.members.Servers().ByID("b").Leaving).To(BeTrue())
+		f.now = f.now.Add(outageGrace + time.Millisecond)
+		Expect(f.read()).To(Succeed())
+		Expect(f.ids()).To(ConsistOf("a", "b"))
+		f.store.append(TopicServers, "d", "1.1.1.4:1")
+		f.now = f.now.Add(departureHold)
+		Expect(f.read()).To(Succeed())
+		Expect(f.ids()).To(ConsistOf("a", "b", "c", "d"), "still listed by the registry")
 	})
 
 	It("removes servers at once that are deleted after the restore", func() {
-		b.store.restoreCopy(1, 3)
-		Expect(b.read()).To(Succeed())
-		b.store.append(TopicServers, "c", "")
-		b.store.append(TopicServers, "a", "")
-		Expect(b.read()).To(Succeed())
-		Expect(b.ids()).To(ConsistOf("b", "d"))
-		b.now = b.now.Add(departureHold + time.Second)
-		Expect(b.read()).To(Succeed())
-		Expect(b.ids()).To(ConsistOf("b"))
+		f.store.restoreCopy(1, 3)
+		Expect(f.read()).To(Succeed())
+		f.store.append(TopicServers, "c", "")
+		f.store.append(TopicServers, "a", "")
+		Expect(f.read()).To(Succeed())
+		Expect(f.ids()).To(ConsistOf("b", "d"))
+		f.now = f.now.Add(departureHold + time.Second)
+		Expect(f.read()).To(Succeed())
+		Expect(f.ids()).To(ConsistOf("b"))
 	})
 
 	It("delivers changes at lower offsets than before, also after a second restore", func() {
 		for range 2 {
-			b.store.restoreCopy(1, 3)
-			Expect(b.read()).To(Succeed())
+			f.store.restoreCopy(1, 3)
+			Expect(f.read()).To(Succeed())
 		}
-		b.store.append(TopicServers, "a", "1.1.1.1:1 leaving")
-		Expect(b.read()).To(Succeed())
-		Expect(b.members.Servers().ByID("a").Leaving).To(BeTrue())
-		Expect(b.members.positions().servers).To(Equal(storelog.NewPosition(2, 4)))
+		f.store.append(TopicServers, "a", "1.1.1.1:1 leaving")
+		Expect(f.read()).To(Succeed())
+		Expect(f.members.Servers().ByID("a").Leaving).To(BeTrue())
+		Expect(f.members.positions().servers).To(Equal(storelog.NewPosition(2, 4)))
 	})
 
 	It("reaches a daemon that lost the store through its peers", func() {
 		partitioned := newFixture()
-		pullFrom(partitioned, b)
-		b.store.restoreCopy(1, 3)
-		b.store.append(TopicOperators, "config", "5")
-		b.store.append(TopicServers, "a", "1.1.1.1:1 leaving")
-		Expect(b.read()).To(Succeed())
-		pullFrom(partitioned, b)
+		pullFrom(partitioned, f)
+		f.store.restoreCopy(1, 3)
+		f.store.append(TopicOperators, "config", "5")
+		f.store.append(TopicServers, "a", "1.1.1.1:1 leaving")
+		Expect(f.read()).To(Succeed())
+		pullFrom(partitioned, f)
 		Expect(inForce(partitioned)).To(Equal(int64(5)))
 		Expect(partitioned.members.Servers().ByID("a").Leaving).To(BeTrue())
 		Expect(partitioned.members.Servers().ByID("b").Leaving).To(BeTrue())
-		pullFrom(b, partitioned)
-		Expect(inForce(b)).To(Equal(int64(5)))
+		pullFrom(f, partitioned)
+		Expect(inForce(f)).To(Equal(int64(5)))
 	})
 
 	It("doesn't hide the configuration from a new daemon, whichever era its peer is in", func() {
 		formerEra := newFixture()
-		pullFrom(formerEra, b)
-		b.store.restoreCopy(1, 3)
+		pullFrom(formerEra, f)
+		f.store.restoreCopy(1, 3)
 		started := newFixture()
-		started.store = b.store
-		started.follower.store = b.store
+		started.store = f.store
+		started.follower.store = f.store
 		Expect(started.read()).To(Succeed())
 		Expect(inForce(started)).To(Equal(int64(1)), "the only one in the store")
 		position := started.members.positions()
 		pullFrom(started, formerEra)
 		Expect(inForce(started)).To(Equal(int64(3)))
 		Expect(started.members.positions()).To(Equal(position))
-		Expect(b.read()).To(Succeed())
+		Expect(f.read()).To(Succeed())
 		other := newFixture()
-		other.follower.store = b.store
+		other.follower.store = f.store
 		Expect(other.read()).To(Succeed())
-		pullFrom(other, b)
+		pullFrom(other, f)
 		Expect(inForce(other)).To(Equal(int64(3)))
 	})
 
 	It("causes an error and a retry while it is behind and reports no era", func() {
-		b.store.records[TopicOperators] = b.store.records[TopicOperators][:1]
-		Expect(b.follower.readConfig(context.Background())).To(MatchError(errStoreBehind))
-		Expect(inForce(b)).To(Equal(int64(3)))
+		f.store.records[TopicOperators] = f.store.records[TopicOperators][:1]
+		Expect(f.follower.readConfig(context.Background())).To(MatchError(errStoreBehind))
+		Expect(inForce(f)).To(Equal(int64(3)))
 		for _, version := range []string{"4", "5", "6"} {
-			b.store.append(TopicOperators, "config", version)
+			f.store.append(TopicOperators, "config", version)
 		}
-		Expect(b.follower.readConfig(context.Background())).To(Succeed())
-		Expect(inForce(b)).To(Equal(int64(6)))
+		Expect(f.follower.readConfig(context.Background())).To(Succeed())
+		Expect(inForce(f)).To(Equal(int64(6)))
 	})
 
 	It("works with peers that report no era", func() {
-		b.store.append(TopicServers, "e", "1.1.1.5:1")
-		Expect(b.read()).To(Succeed())
-		reply, err := NewExchange(b.members, Peer{}, nil, nil, b.follower.log).Exchange(context.Background(), &peerrpc.ExchangeRequest{OperatorsNext: 3, ServersNext: 6})
+		f.store.append(TopicServers, "e", "1.1.1.5:1")
+		Expect(f.read()).To(Succeed())
+		reply, err := NewExchange(f.members, Peer{}, nil, nil, f.follower.log).Exchange(context.Background(), &peerrpc.ExchangeRequest{OperatorsNext: 3, ServersNext: 6})
 		Expect(err).NotTo(HaveOccurred())
 		Expect(reply.GetOperators().GetRecords()).To(BeEmpty())
 		Expect(reply.GetServers().GetRecords()).To(HaveLen(1))
-		b.store.restoreCopy(3, 6)
-		Expect(b.read()).To(Succeed())
-		NewExchange(b.members, Peer{}, nil, nil, b.follower.log).mergeReply(&peerrpc.ExchangeReply{
+		f.store.restoreCopy(3, 6)
+		Expect(f.read()).To(Succeed())
+		NewExchange(f.members, Peer{}, nil, nil, f.follower.log).mergeReply(&peerrpc.ExchangeReply{
 			Operators: &peerrpc.Topic{Next: 9, Records: []*peerrpc.Record{{Key: "config", Value: []byte("2"), Offset: 8}}},
 			Servers:   &peerrpc.Topic{Next: 9, Records: []*peerrpc.Record{{Key: "a", Offset: 8}}},
-		}, b.now, "earlier release")
-		Expect(inForce(b)).To(Equal(int64(3)))
-		Expect(b.ids()).To(ContainElement("a"))
+		}, f.now, "earlier release")
+		Expect(inForce(f)).To(Equal(int64(3)))
+		Expect(f.ids()).To(ContainElement("a"))
 	})
 })
--- a/internal/ranks/difference.go
+++ b/internal/ranks/difference.go
@@ -18,7 +18,8 @@
 	return m.epoch == other.epoch && m.fence == other.fence
 }
 
-// defaultMap returns the initial map of an epoch: experts assigned round robin.
+// defaultMap returns the initial map of an epoch, which assigns each expert to one rank,
+// round robin.
 func defaultMap(layers, ranks, experts int) [][][]int {
 	lists := make([][][]int, layers)
 	for layer := range lists {
--- a/internal/rebalance/placement.go
+++ b/internal/rebalance/placement.go
@@ -26,7 +26,8 @@
 	slots [][]int32
 }
 
-// NewPlacement returns the default map of a group, with experts assigned round robin.
+// NewPlacement returns a placement that fills all slots with experts round robin. The engines'
+// default map has each expert only once.
 func NewPlacement(shape Shape) (*Placement, error) {
 	if shape.Ranks*shape.Slots < shape.Experts {
 		return nil, errors.Errorf("%d ranks with %d slots each cannot hold %d experts", shape.Ranks, shape.Slots, shape.Experts)
@@ -47,8 +48,8 @@
 	return p, nil
 }
 
-// repairDuplicates makes the experts of each rank distinct. Round robin assigns a rank
-// the same expert twice if the number of ranks is a multiple of the number of experts.
+// repairDuplicates makes the experts of each rank distinct. Round robin may assign a rank
+// the same expert twice if the numbers of ranks and experts have a common divisor.
 func (p *Placement) repairDuplicates(layer int) {
 	for rank := range p.Shape.Ranks {
 		held := p.rank(layer, rank)
--- a/internal/rebalance/rebalance_test.go
+++ b/internal/rebalance/rebalance_test.go
@@ -234,8 +234,8 @@
 	}
 }
 
-// jumpedDemand returns a group with the default map and a demand that strongly favors
-// other experts in each layer.
+// jumpedDemand returns a round-robin placement, and a demand that strongly favors other
+// experts in each layer, for ranks of equal speed.
 func jumpedDemand(t testing.TB) (*Placement, Popularity, []float64) {
 	t.Helper()
 	shape := Shape{Ranks: 12, Experts: 96, Layers: 3, Slots: 11}
--- a/internal/replica/restore_property_test.go
+++ b/internal/replica/restore_property_test.go
@@ -87,13 +87,13 @@
 	commands int
 }
 
-func (w *restoredLogModel) start(i int) {
-	w.replicas[i], w.known[i], w.position[i] = New(time.Now), map[string]bool{}, storelog.Unknown
+func (m *restoredLogModel) start(i int) {
+	m.replicas[i], m.known[i], m.position[i] = New(time.Now), map[string]bool{}, storelog.Unknown
 }
 
-func (w *restoredLogModel) change(t *rapid.T) {
-	w.commands++
-	name := fmt.Sprint("c", w.commands)
+func (m *restoredLogModel) change(t *rapid.T) {
+	m.commands++
+	name := fmt.Sprint("c", m.commands)
 	data, err := config.NewChange(&config.Bundle{CommandID: name, Actor: "op", Changes: []config.Change{{
 		Kind: config.KindCustomer, Name: name, ExpectedRevision: config.AnyRevision,
 		Object: &config.Object{Kind: config.KindCustomer, Name: name, Customer: &config.Customer{}},
@@ -101,9 +101,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	write := func() { _, _ = w.log.Append(context.Background(), data) } // never fails
+	write := func() { _, _ = m.log.Append(context.Background(), data) } // never fails
 	if rapid.Bool().Draw(t, "during ReadAll") {
-		w.log.afterReadAll = write
+		m.log.afterReadAll = write
 		return
 	}
 	for range rapid.IntRange(1, 2).Draw(t, "appends") {
@@ -112,35 +112,35 @@
 }
 
 // step makes a replica read once and checks that it hasn't lost an applied change.
-func (w *restoredLogModel) step(t *rapid.T, i int) {
+func (m *restoredLogModel) step(t *rapid.T, i int) {
 	logger := logrus.New()
 	logger.SetOutput(io.Discard)
-	r := w.replicas[i]
-	if _, err := r.followOnce(context.Background(), LogSource{Log: w.log}, logrus.NewEntry(logger)); err != nil {
+	r := m.replicas[i]
+	if _, err := r.followOnce(context.Background(), LogSource{Log: m.log}, logrus.NewEntry(logger)); err != nil {
 		t.Fatal(err)
 	}
-	if r.Position() < w.position[i] {
-		t.Fatalf("replica %d went from position %s to %s", i, w.position[i], r.Position())
+	if r.Position() < m.position[i] {
+		t.Fatalf("replica %d went from position %s to %s", i, m.position[i], r.Position())
 	}
-	w.position[i] = r.Position()
+	m.position[i] = r.Position()
 	for _, customer := range r.View().List(config.KindCustomer) {
-		w.known[i][customer.Name] = true
+		m.known[i][customer.Name] = true
 	}
-	w.checkKnown(t, i)
+	m.checkKnown(t, i)
 }
 
-func (w *restoredLogModel) checkKnown(t *rapid.T, i int) {
-	for name := range w.known[i] {
-		if w.replicas[i].View().Get(config.KindCustomer, name) == nil {
+func (m *restoredLogModel) checkKnown(t *rapid.T, i int) {
+	for name := range m.known[i] {
+		if m.replicas[i].View().Get(config.KindCustomer, name) == nil {
 			t.Fatalf("replica %d lost change %s", i, name)
 		}
 	}
 }
 
 // changesOnLog returns the changes that are on the log, before or after a restored state.
-func (w *restoredLogModel) changesOnLog() map[string]bool {
+func (m *restoredLogModel) changesOnLog() map[string]bool {
 	found := map[string]bool{}
-	for _, entry := range w.log.entries {
+	for _, entry := range m.log.entries {
 		if record, err := config.DecodeRecord(entry.Data); err == nil && record.Bundle != nil {
 			found[record.Bundle.CommandID] = true
 		}
@@ -153,36 +153,36 @@
 func TestChangeSurvivesWhileAnyReplicaHasIt(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const replicas = 3
-		w := &restoredLogModel{
+		m := &restoredLogModel{
 			log: &eraLog{}, replicas: make([]*Replica, replicas), known: make([]map[string]bool, replicas), position: make([]storelog.Position, replicas),
 		}
 		for i := range replicas {
-			w.start(i)
+			m.start(i)
 		}
 		drawReplica := func(t *rapid.T) int { return rapid.IntRange(0, replicas-1).Draw(t, "replica") }
-		read := func(t *rapid.T) { w.step(t, drawReplica(t)) }
+		read := func(t *rapid.T) { m.step(t, drawReplica(t)) }
 		t.Repeat(map[string]func(*rapid.T){
-			"change":              w.change,
-			"change again":        w.change,
+			"change":              m.change,
+			"change again":        m.change,
 			"read":                read,
 			"read again":          read,
 			"read on":             read,
-			"copy":                func(*rapid.T) { w.log.copied = len(w.log.entries) },
-			"come back from copy": func(*rapid.T) { w.log.restoreCopy() },
-			"start":               func(t *rapid.T) { w.start(drawReplica(t)) },
+			"copy":                func(*rapid.T) { m.log.copied = len(m.log.entries) },
+			"come back from copy": func(*rapid.T) { m.log.restoreCopy() },
+			"start":               func(t *rapid.T) { m.start(drawReplica(t)) },
 		})
 		for range 3 * replicas {
 			for i := range replicas {
-				w.step(t, i)
+				m.step(t, i)
 			}
 		}
-		w.known = append(w.known, w.changesOnLog())
-		_, want := w.replicas[0].Hash()
-		for i, r := range w.replicas {
+		m.known = append(m.known, m.changesOnLog())
+		_, want := m.replicas[0].Hash()
+		for i, r := range m.replicas {
 			if at, hash := r.Hash(); hash != want {
-				t.Fatalf("replica %d at %s has another state than the first at %s", i, at, w.replicas[0].Position())
+				t.Fatalf("replica %d at %s has another state than the first at %s", i, at, m.replicas[0].Position())
 			}
-			for _, known := range w.known {
+			for _, known := range m.known {
 				for name := range known {
 					if r.View().Get(config.KindCustomer, name) == nil {
 						t.Fatalf("replica %d lacks change %s, which is applied elsewhere", i, name)
