--- a/internal/dispatch/response.go
+++ b/internal/dispatch/response.go
@@ -67,7 +67,7 @@
 		if p.quarantine != nil {
 			p.quarantine.MarkExited(server.Key(), "another server uses its address")
 		}
-		return failure.NotRun(failure.StepSend, server.ID, failure.CodeWrongServer, "another server uses the address "+server.Address).WithRetryAfter(noServerRetryAfter)
+		return failure.NotRun(failure.StepSend, server.ID, failure.CodeWrongServer, "another server uses the address").WithRetryAfter(noServerRetryAfter)
 	}
 	if server.Rank != nil && response.Info.FaultyServer != "" {
 		p.balancer.markBroken(server, now)
--- a/internal/entry/serve.go
+++ b/internal/entry/serve.go
@@ -185,7 +185,7 @@
 		_, _ = io.Copy(io.Discard, io.LimitReader(stream, maxDrainBytes))
 		x.ctx.SetConnectionClose()
 		return failure.NotRun(failure.StepParse, "", failure.CodeTooLarge,
-			fmt.Sprintf("body size exceeds %d bytes", e.options.MaxBody))
+			fmt.Sprintf("body size exceeds %d bytes: send less", e.options.MaxBody))
 	}
 	x.body = body
 	return nil
--- a/internal/frontend/frontend.go
+++ b/internal/frontend/frontend.go
@@ -151,7 +151,7 @@
 		}
 	}
 	if size > limit {
-		return failure.NotRun(failure.StepParse, "", failure.CodeHeaderTooLarge, "header size exceeds "+strconv.Itoa(limit)+" bytes")
+		return failure.NotRun(failure.StepParse, "", failure.CodeHeaderTooLarge, "header size exceeds "+strconv.Itoa(limit)+" bytes: send less")
 	}
 	return nil
 }
@@ -171,10 +171,10 @@
 	}
 	var tooLarge *http.MaxBytesError
 	if errors.As(err, &tooLarge) {
-		return nil, failure.NotRun(failure.StepParse, "", failure.CodeTooLarge, "body size exceeds "+strconv.FormatInt(limit, 10)+" bytes")
+		return nil, failure.NotRun(failure.StepParse, "", failure.CodeTooLarge, "body size exceeds "+strconv.FormatInt(limit, 10)+" bytes: send less")
 	}
 	if errors.Is(err, os.ErrDeadlineExceeded) {
-		return nil, failure.NotRun(failure.StepParse, "", failure.CodeSlowBody, "body not received within "+s.bodyTimeout.String())
+		return nil, failure.NotRun(failure.StepParse, "", failure.CodeSlowBody, "body not received within "+s.bodyTimeout.String()+": send it faster")
 	}
 	if err != nil {
 		return nil, failure.NotRun(failure.StepParse, "", failure.CodeInvalid, "read body: "+err.Error())
