--- a/internal/agent/call.go
+++ b/internal/agent/call.go
@@ -162,7 +162,7 @@
 	body, err := io.ReadAll(io.LimitReader(c.response.Body, a.options.MaxResponse+1))
 	_ = c.response.Body.Close() // a read error is handled below
 	if err == nil && int64(len(body)) > a.options.MaxResponse {
-		err = errors.New("response exceeds the agent's size limit")
+		err = errors.Errorf("response exceeds the agent's limit of %d bytes", a.options.MaxResponse)
 	}
 	if err != nil {
 		a.done(j.envelope.RequestID, 0, false)
--- a/internal/agent/exclusion.go
+++ b/internal/agent/exclusion.go
@@ -49,7 +49,8 @@
 	a.refuseWaiting(a.exclusion())
 }
 
-// exclusion returns why no request may be started now, or nil. The caller must hold mu.
+// exclusion returns the server's rest or leaving notice while it is in force, or nil. It starts
+// a check whether a leaving server has exited if one is due. The caller must hold mu.
 func (a *Agent) exclusion() *eligibility.Exclusion {
 	now := a.suspendAwareNow()
 	exclusion := a.serverReport.Exclusion(now)
@@ -67,7 +68,8 @@
 	return exclusion
 }
 
-// checkSend returns an error if the request may not be sent. It is called when a connection
+// checkSend returns an error if the request may not be sent, or else takes a token of the
+// server's rate limit. It is called when a connection
 // to the server is ready, right before the first byte is written.
 func (a *Agent) checkSend(j *job) error {
 	a.mu.Lock()
--- a/internal/agent/handler.go
+++ b/internal/agent/handler.go
@@ -5,6 +5,7 @@
 	"crypto/sha256"
 	"crypto/subtle"
 	"encoding/hex"
+	"fmt"
 	"io"
 	"net/http"
 	"strings"
@@ -98,7 +99,7 @@
 		return failure.NotRun(failure.StepParse, a.options.Server, failure.CodeInvalid, "body incomplete: "+err.Error())
 	}
 	if int64(len(j.body)) > a.options.MaxBody {
-		return failure.NotRun(failure.StepParse, a.options.Server, failure.CodeTooLarge, "body exceeds the agent's size limit")
+		return failure.NotRun(failure.StepParse, a.options.Server, failure.CodeTooLarge, fmt.Sprintf("body size exceeds the agent's limit of %d bytes: send less", a.options.MaxBody))
 	}
 	return nil
 }
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -35,7 +35,7 @@
 	// MaxBody and MaxResponse bound the bytes of a request body and of a buffered response.
 	MaxBody     int
 	MaxResponse int64
-	// MaxConcurrent bounds the requests in flight.
+	// MaxConcurrent bounds the callers' connections.
 	MaxConcurrent int
 	// PollsPerSecond bounds the polling of agents regardless of the fleet's size.
 	PollsPerSecond int
@@ -153,7 +153,8 @@
 func (e *Entry) Leave() { e.stopping.Store(true) }
 
 // Stop refuses new connections and returns when every request in flight has ended. When
-// the context ends first, the remaining requests are canceled and get a failure response.
+// the context ends first, the remaining requests are canceled and get a failure response. It
+// returns an error if that takes longer than finalResponseTime.
 func (e *Entry) Stop(ctx context.Context) error {
 	e.Leave()
 	bounded, cancel := context.WithCancel(context.WithoutCancel(ctx))
--- a/internal/entry/poll.go
+++ b/internal/entry/poll.go
@@ -110,7 +110,7 @@
 
 // VMList is the platform's list of backend servers.
 type VMList interface {
-	// Leaving returns for each listed server whether it is leaving.
+	// LeavingServers returns for each listed server whether it is leaving.
 	LeavingServers(ctx context.Context) (map[string]bool, error)
 }
 
--- a/internal/entry/relay.go
+++ b/internal/entry/relay.go
@@ -86,8 +86,8 @@
 	x      *exchange
 	cancel context.CancelFunc
 
-	// started is closed when a stream starts, done when the pipeline has finished. The
-	// fields below are written before.
+	// started is closed when a stream starts, done when the pipeline has finished. status,
+	// header, reader and writer are written before either, body and failure before done.
 	started, done chan struct{}
 	status        int
 	header        http.Header
@@ -135,8 +135,8 @@
 	close(r.done)
 }
 
-// wait blocks until a response can be written, and cancels the request when the caller
-// disconnects.
+// wait writes the response once a stream has started or the pipeline has finished. It cancels
+// the request if the caller disconnects meanwhile.
 func (r *relay) wait(x *exchange) {
 	ticker := time.NewTicker(disconnectPollInterval)
 	defer ticker.Stop()
@@ -194,7 +194,8 @@
 	return strings.HasPrefix(header.Get("Content-Type"), "text/event-stream")
 }
 
-// failureEvent returns the last event of a stream that broke off.
+// failureEvent returns the last event of a stream that broke off. The outcome is unknown,
+// since the server has run a part of the request.
 func failureEvent(x *exchange, f *failure.Error) []byte {
 	f = &failure.Error{
 		Step: f.Step, Peer: f.Peer, Code: f.Code, Outcome: failure.OutcomeUnknown,
--- a/internal/entry/response.go
+++ b/internal/entry/response.go
@@ -12,7 +12,8 @@
 	headers.Server: true, headers.Replayed: true, headers.Outcome: true,
 }
 
-// copyResponseHeaders copies a response's headers except internal and hop-by-hop ones.
+// copyResponseHeaders copies a response's headers except internal ones and those that
+// fasthttp sets itself.
 func copyResponseHeaders(x *exchange, from http.Header) {
 	for name, values := range from {
 		if strings.HasPrefix(name, "X-Crowbridge-") && !forwardedHeaders[name] {
--- a/internal/entry/serve.go
+++ b/internal/entry/serve.go
@@ -37,7 +37,9 @@
 	deadline time.Time
 	// stream is set if the caller requested server-sent events.
 	stream bool
-	cost   float64
+	// cost is the estimated number of tokens, or 1 for a plain service.
+	cost float64
+	// prefix is the hash of the prompt's prefix, or 0.
 	prefix uint64
 	// homesOffset is the offset of the last change of the homes of the service's keys. The
 	// route is from the same or a later configuration.
@@ -107,7 +109,7 @@
 // serveCancel cancels a request in flight at this entry if it belongs to the customer.
 func (e *Entry) serveCancel(x *exchange, id string) {
 	if !x.ctx.IsDelete() {
-		writeFailure(x, failure.NotRun(failure.StepParse, "", failure.CodeInvalid, "method: use DELETE to cancel a request"))
+		writeFailure(x, failure.NotRun(failure.StepParse, "", failure.CodeInvalid, fmt.Sprintf("method: %q: use DELETE to cancel a request", x.ctx.Method())))
 		return
 	}
 	e.mu.Lock()
@@ -201,7 +203,7 @@
 
 func (e *Entry) parseCompletion(x *exchange, index *selector.Index, now time.Time) *failure.Error {
 	if !x.ctx.IsPost() {
-		return failure.NotRun(failure.StepParse, "", failure.CodeInvalid, "method: use POST")
+		return failure.NotRun(failure.StepParse, "", failure.CodeInvalid, fmt.Sprintf("method: %q: use POST", x.ctx.Method()))
 	}
 	completion, err := httpapi.ParseCompletion(x.body)
 	if err != nil {
--- a/internal/headers/headers.go
+++ b/internal/headers/headers.go
@@ -45,8 +45,8 @@
 	KeyClosed    = "X-Crowbridge-Key-Closed"
 	WantServer   = "X-Crowbridge-Want-Server"
 	Homes        = "X-Crowbridge-Homes"
-	// Rest is the remaining time, in milliseconds, for which the agent's server must get no new
-	// requests, because it asked for that by Retry-After.
+	// Rest is how long, in milliseconds, the agent's server must get no new requests, because it
+	// is resting, leaving or at its rate limit.
 	Rest = "X-Crowbridge-Rest-Ms"
 )
 
@@ -81,8 +81,8 @@
 	Cost float64
 	// Server is the backend server that the request is for.
 	Server string
-	// Homes is the offset of the last change known to the entry of the homes of the service's
-	// keys.
+	// Homes is the offset of the last change of the homes of the service's keys that the entry
+	// has applied.
 	Homes int64
 }
 
@@ -168,8 +168,8 @@
 	}
 }
 
-// WriteRest sets the remaining rest of the agent's server, rounded up to milliseconds. It sets
-// nothing if left isn't positive.
+// WriteRest sets how long the agent's server must get no new requests, rounded up to
+// milliseconds. It sets nothing if left isn't positive.
 func WriteRest(h http.Header, left time.Duration) {
 	if left > 0 {
 		h.Set(Rest, strconv.FormatInt(int64(math.Ceil(float64(left)/float64(time.Millisecond))), 10))
