--- a/internal/routing/budget.go
+++ b/internal/routing/budget.go
@@ -11,7 +11,8 @@
 // at once.
 const maxSavedRetries = 10.0
 
-// maxCustomers bounds the number of customers tracked.
+// maxCustomers bounds the number of customers tracked. When it is reached, all budgets start
+// anew.
 const maxCustomers = 16384
 
 // NewRetryBudget returns a budget of percent retries per hundred requests.
--- a/internal/routing/pick.go
+++ b/internal/routing/pick.go
@@ -34,7 +34,7 @@
 	// samplesPerZone is the number of eligible servers sampled from the own zone, and again
 	// from all zones.
 	samplesPerZone = 2
-	// sampleAttempts bounds the random draws per sample.
+	// sampleAttempts bounds the random draws to find them.
 	sampleAttempts = 8
 )
 
@@ -59,7 +59,7 @@
 // Pick returns the name of the chosen server, or "" if none is eligible. It takes the best
 // of two random servers of the own zone, two of all zones and the one that probably caches
 // the prompt's prefix, which is constant work regardless of the number of servers. If none
-// of them is eligible, it scans all servers, and then again including ejected ones.
+// of them is eligible, it scans all candidates, and then again including ejected ones.
 func (p *Picker) Pick(now time.Time, random *rand.Rand, q Query) string {
 	own := p.ownZone(q.Candidates)
 	best := choice{}
--- a/internal/routing/poll.go
+++ b/internal/routing/poll.go
@@ -3,8 +3,8 @@
 import "time"
 
 const (
-	// freshReportAge is the age below which a server isn't polled. Responses carry load
-	// reports too, so busy servers are rarely polled.
+	// freshReportAge is the age of the last report or poll below which a server isn't polled.
+	// Responses carry load reports too, so busy servers are rarely polled.
 	freshReportAge = time.Second
 	// neverReportedAge is the age assumed for a server that has not reported. It is also the
 	// maximum age, so that the weighted age can't overflow.
@@ -13,8 +13,8 @@
 	ownZoneWeight = 4
 )
 
-// NextToPoll returns a copy of the row with the oldest report, weighted by zone, and marks it
-// as polled. It returns nil if all reports are fresh.
+// NextToPoll returns a copy of the row whose last report or poll is oldest, weighted by zone,
+// and marks it as polled. It returns nil if all rows are fresh.
 func (t *Table) NextToPoll(now time.Time) *ServerState {
 	var oldest *ServerState
 	var oldestAge time.Duration
--- a/internal/routing/routing_test.go
+++ b/internal/routing/routing_test.go
@@ -79,7 +79,7 @@
 		Expect(outside).To(BeNumerically(">", 60))
 	})
 
-	It("adds own requests to stale reports", func() {
+	It("spreads requests evenly between reports, by counting its own", func() {
 		servers := newServers([]string{"a"}, 4)
 		counts := pickAndCount(newSyncedTable(servers), servers, 400)
 		for _, server := range servers {
@@ -181,8 +181,8 @@
 	})
 })
 
-var _ = Describe("outlier detection", func() {
-	It("ejects a failing server although its agent reports no load", func() {
+var _ = Describe("Picker filters", func() {
+	It("eject a failing server although its agent reports no load", func() {
 		servers := newServers([]string{"a"}, 4)
 		table := newSyncedTable(servers)
 		picker, random := NewPicker(table), newRandom()
@@ -198,7 +198,7 @@
 		Expect(picker.Eligible(start, table.Row("a-0000"))).To(BeTrue())
 	})
 
-	It("picks an ejected server if all are ejected", func() {
+	It("admit an ejected server if all are ejected", func() {
 		servers := newServers([]string{"a"}, 3)
 		table := newSyncedTable(servers)
 		for _, s := range servers {
@@ -207,7 +207,7 @@
 		Expect(NewPicker(table).Pick(start, newRandom(), Query{Candidates: servers})).NotTo(BeEmpty())
 	})
 
-	It("excludes a group while one of its ranks is unavailable", func() {
+	It("exclude a group while one of its ranks is unavailable", func() {
 		servers := newServers([]string{"a"}, 4)
 		servers[0].Spec.Group, servers[1].Spec.Group = "g", "g"
 		table := newSyncedTable(servers)
--- a/internal/steering/steering.go
+++ b/internal/steering/steering.go
@@ -58,8 +58,8 @@
 }
 
 // Ready reports whether the replica has synced since the start, from the log or another
-// daemon, and its configuration is compiled. Until then it is unknown which servers are
-// allowed.
+// daemon, and its configuration has been compiled. Until then it is unknown which servers
+// are allowed.
 func (f *Filter) Ready() bool {
 	if f.ready.Load() {
 		return true
--- a/internal/steering/steering_test.go
+++ b/internal/steering/steering_test.go
@@ -96,12 +96,12 @@
 	})
 
 	allowed := func(service, customer string) ([]string, string) {
-		servers, rule := s.Allowed(registry, service, customer)
+		servers, route := s.Allowed(registry, service, customer)
 		ids := []string{}
 		for _, server := range servers {
 			ids = append(ids, server.ID)
 		}
-		return ids, rule
+		return ids, route
 	}
 
 	It("is ready only after the replica has synced and its configuration is compiled", func() {
@@ -121,21 +121,21 @@
 	})
 
 	It("allows all servers of a service without routes", func() {
-		ids, rule := allowed("ledger", "rozsa")
+		ids, route := allowed("ledger", "rozsa")
 		Expect(ids).To(ConsistOf("other"))
-		Expect(rule).To(BeEmpty())
+		Expect(route).To(BeEmpty())
 		apply(manifest)
-		ids, rule = allowed("ledger", "rozsa")
+		ids, route = allowed("ledger", "rozsa")
 		Expect(ids).To(ConsistOf("other"))
-		Expect(rule).To(BeEmpty())
+		Expect(route).To(BeEmpty())
 	})
 
-	DescribeTable("restricts the servers", func(hour int, customer string, want []string, wantRule string) {
+	DescribeTable("restricts the servers", func(hour int, customer string, want []string, wantRoute string) {
 		now = time.Date(2026, 12, 2, hour, 0, 0, 0, time.UTC)
 		apply(manifest)
-		ids, rule := allowed("writer", customer)
+		ids, route := allowed("writer", customer)
 		Expect(ids).To(ConsistOf(want))
-		Expect(rule).To(Equal(wantRule))
+		Expect(route).To(Equal(wantRoute))
 	},
 		Entry("by the route of the highest priority", 12, "rozsa", []string{"west"}, "gold-by-day"),
 		Entry("by the next one outside its window", 20, "rozsa", []string{"west", "east"}, "plain"),
@@ -160,8 +160,8 @@
 	It("explains why a server is not allowed", func() {
 		now = time.Date(2026, 12, 2, 20, 0, 0, 0, time.UTC)
 		apply(manifest)
-		rule, reasons := s.Explain(registry, "writer", "rozsa")
-		Expect(rule).To(Equal("plain"))
+		route, reasons := s.Explain(registry, "writer", "rozsa")
+		Expect(route).To(Equal("plain"))
 		Expect(reasons).To(Equal(map[string]string{
 			"west": "", "east": "", "north": "its labels don't match !canary", "rank": "its labels don't match !canary",
 			"drained": "draining",
