--- a/internal/daemon/servers.go
+++ b/internal/daemon/servers.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"fmt"
 	"net"
 	"net/http"
 	"time"
@@ -56,7 +57,7 @@
 	mux.HandleFunc("PUT /loglevel/{level}", func(w http.ResponseWriter, r *http.Request) {
 		level, err := logrus.ParseLevel(r.PathValue("level"))
 		if err != nil {
-			http.Error(w, "level: use error, warn, info or debug", http.StatusBadRequest)
+			http.Error(w, fmt.Sprintf("level: %q: use error, warn, info or debug", r.PathValue("level")), http.StatusBadRequest)
 			return
 		}
 		logger.SetLevel(level)
--- a/internal/httpapi/events.go
+++ b/internal/httpapi/events.go
@@ -16,7 +16,7 @@
 	Raw []byte
 	// ID is the event's token offset, or -1 if it has none.
 	ID int64
-	// Done reports whether this event ends the stream.
+	// Done is set if this event ends the stream.
 	Done bool
 }
 
@@ -33,7 +33,7 @@
 )
 
 // ErrEventTooLong is returned for an event that exceeds the size limit.
-var ErrEventTooLong = errors.New("server-sent event over one MiB")
+var ErrEventTooLong = errors.New("server-sent event exceeds 1 MiB")
 
 var (
 	idField   = []byte("id:")
--- a/internal/httpapi/httpapi.go
+++ b/internal/httpapi/httpapi.go
@@ -38,7 +38,7 @@
 func ParseCompletion(body []byte) (*Completion, error) {
 	var c Completion
 	if err := json.Unmarshal(body, &c); err != nil {
-		return nil, errors.Wrap(err, "body: invalid completion request")
+		return nil, errors.Wrap(err, "body: use the JSON object of a completion request")
 	}
 	if c.Model == "" {
 		return nil, errors.New("model: empty: use a model from /v1/models")
--- a/internal/rpc/ledger.go
+++ b/internal/rpc/ledger.go
@@ -4,7 +4,7 @@
 
 import "github.com/crowbridge/crowbridge/internal/outcome"
 
-// NewLedger returns the message with the outcome counts of the daemon name.
+// NewLedger returns the message with the outcome counts of the named daemon.
 func NewLedger(name string, counts outcome.Counts) *Ledger {
 	return &Ledger{
 		Name: name, Accepted: counts.Accepted, Answered: counts.Answered,
