--- a/cmd/crowbridge/read.go
+++ b/cmd/crowbridge/read.go
@@ -194,7 +194,7 @@
 }
 
 func statusTable(w *tabwriter.Writer, s *rpc.StatusReply) {
-	fmt.Fprintf(w, "daemon %s\tzone %s\toffset %d\tera %d\tlog heard of %d ms ago\thash %.12s\n",
+	fmt.Fprintf(w, "daemon %s\tzone %s\toffset %d\tera %d\tlog confirmed %d ms ago\thash %.12s\n",
 		s.Daemon, s.Zone, s.Offset, storelog.Position(s.Offset).Era(), s.LogAgeMs, s.StateHash)
 	for _, l := range s.Ledgers {
 		fmt.Fprintf(w, "ledger %s\taccepted %d\tanswered %d\tnot run %d\tunknown %d\tin flight %d\n", l.Name, l.Accepted, l.Answered, l.NotRun, l.Unknown, l.InFlight)
--- a/cmd/crowbridged/agent.go
+++ b/cmd/crowbridged/agent.go
@@ -169,8 +169,8 @@
 	return nil
 }
 
-// drainAgent rejects new requests, waits for those in flight, and records the table of idempotency
-// keys for the next incarnation.
+// drainAgent rejects new requests and waits for those in flight, at most for the drain timeout. If
+// all have finished, it records the table of idempotency keys for the next incarnation.
 func drainAgent(p *process, a *agent.Agent, recorder *agent.Recorder) {
 	timer := time.NewTimer(p.cmd.Duration("drain-timeout"))
 	defer timer.Stop()
--- a/cmd/crowbridged/entry.go
+++ b/cmd/crowbridged/entry.go
@@ -36,7 +36,7 @@
 			operatorFlag(),
 			intFlag("max-body", defaultMaxBody, "maximum size of a request body, in bytes"),
 			intFlag("max-answer", defaultMaxResponse, "maximum size of a response that isn't streamed, in bytes"),
-			intFlag("max-concurrent", 20000, "maximum number of requests in flight"),
+			intFlag("max-concurrent", 20000, "maximum number of callers' connections"),
 			durationFlag("config-timeout", 3*time.Second, "maximum time to wait for the configuration at startup before serving callers"),
 			intFlag("reports-per-second", 30, "load reports requested from agents per second"),
 		),
