--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -43,7 +43,8 @@
 const (
 	// retryHint is the Retry-After hint when this server or another can probably accept the
 	// request soon.
-	retryHint   = time.Second
+	retryHint = time.Second
+	// maxKeys and maxKeyBytes bound the table of idempotency keys.
 	maxKeys     = 200000
 	maxKeyBytes = 48 << 20
 )
--- a/internal/agent/exclusion.go
+++ b/internal/agent/exclusion.go
@@ -16,8 +16,8 @@
 )
 
 const (
-	// exitCheckInterval is the time between checks whether a leaving server has exited. It
-	// bounds the delay until its next process gets requests.
+	// exitCheckInterval is the minimum time between checks whether a leaving server has exited.
+	// Requests trigger them.
 	exitCheckInterval = time.Second
 	// maxLeaving is how long a leaving server that keeps listening is excluded: a restart
 	// faster than exitCheckInterval can't be detected.
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -55,8 +55,8 @@
 	log     *logrus.Entry
 	replica *replica.Replica
 	now     func() time.Time
-	client  *http.Client
-	control *http.Client
+	client  *http.Client // for requests to agents
+	control *http.Client // for control calls to agents
 	server  *fasthttp.Server
 
 	snapshot atomic.Pointer[snapshot]
--- a/internal/entry/entry_test.go
+++ b/internal/entry/entry_test.go
@@ -93,10 +93,10 @@
 	})
 
 	It("sends nothing to resting servers and refuses immediately while all rest", func() {
-		var asked atomic.Int64
+		var received atomic.Int64
 		resting := func(seconds int) http.HandlerFunc {
 			return func(w http.ResponseWriter, _ *http.Request) {
-				asked.Add(1)
+				received.Add(1)
 				headers.WriteRest(w.Header(), time.Duration(seconds)*time.Second)
 				headers.WriteFailure(w.Header(), failure.NotRun(failure.StepQueue, "", failure.CodeResting, "the server rests"))
 				w.WriteHeader(http.StatusServiceUnavailable)
@@ -110,7 +110,7 @@
 			Expect(failureIn(body).Code).To(Equal(string(failure.CodeResting)))
 			Expect(failureIn(body).RetryAfterMs).To(BeNumerically("~", 45000, 17000), "time until the first rest ends")
 		}
-		Expect(asked.Load()).To(Equal(int64(2)))
+		Expect(received.Load()).To(Equal(int64(2)))
 		for _, server := range f.entry.Servers() {
 			Expect(server.State).To(Equal("resting"))
 		}
--- a/internal/entry/serve.go
+++ b/internal/entry/serve.go
@@ -86,7 +86,7 @@
 	}
 	header := string(x.ctx.Request.Header.Peek(fasthttp.HeaderAuthorization))
 	if !strings.HasPrefix(header, bearerPrefix) {
-		return failure.NotRun(failure.StepAuthenticate, "", failure.CodeUnauthorized, "Authorization: missing; send \"Bearer\" and your API key")
+		return failure.NotRun(failure.StepAuthenticate, "", failure.CodeUnauthorized, "Authorization: missing: send \"Bearer\" and your API key")
 	}
 	sum := sha256.Sum256([]byte(header[len(bearerPrefix):]))
 	x.customer = e.snapshot.Load().index.CustomerByKeyHash(hex.EncodeToString(sum[:]))
--- a/internal/headers/headers.go
+++ b/internal/headers/headers.go
@@ -102,7 +102,7 @@
 	}
 }
 
-// ReadEnvelope decodes the headers that Envelope.Write sets.
+// ReadEnvelope decodes the headers that Envelope.Write sets. Its error names the invalid header.
 func ReadEnvelope(h http.Header) (*Envelope, error) {
 	weight, err := strconv.Atoi(h.Get(Weight))
 	if err != nil {
--- a/internal/httpapi/httpapi.go
+++ b/internal/httpapi/httpapi.go
@@ -34,7 +34,8 @@
 	prefixBytes = 512
 )
 
-// ParseCompletion parses and validates an OpenAI-style request body.
+// ParseCompletion parses and validates an OpenAI-style request body. Its error names the field and
+// the fix.
 func ParseCompletion(body []byte) (*Completion, error) {
 	var c Completion
 	if err := json.Unmarshal(body, &c); err != nil {
@@ -92,7 +93,7 @@
 )
 
 // ParseIntent applies a request's headers to the defaults. now is the entry's wall clock time; skew
-// is how far the caller's clock may be ahead of it.
+// is how far the caller's clock may be ahead of it. The error names the header and the fix.
 func ParseIntent(header HeaderGetter, defaults Intent, now time.Time, skew time.Duration) (Intent, error) {
 	intent := defaults
 	if value := header(headers.Class); value != "" {
--- a/internal/httpapi/httpapi_test.go
+++ b/internal/httpapi/httpapi_test.go
@@ -45,6 +45,7 @@
 	})
 })
 
+// FuzzEvents checks that the events are the unmodified start of the input.
 func FuzzEvents(f *testing.F) {
 	f.Add([]byte("id: 1\ndata: a\n\n"))
 	f.Add([]byte("id: x\r\n\r\n\n\n"))
@@ -64,6 +65,8 @@
 	})
 }
 
+// FuzzCompletion checks that no body makes the parser panic, and that no accepted request has a
+// negative cost.
 func FuzzCompletion(f *testing.F) {
 	f.Add([]byte(`{"model":"m","messages":[{"role":"user","content":"x"}]}`))
 	f.Add([]byte(`{"model":"m","prompt":"x","max_tokens":-1}`))
--- a/internal/platformdaemon/log.go
+++ b/internal/platformdaemon/log.go
@@ -25,8 +25,9 @@
 // boundedWriter writes lines in the background and never blocks its caller. Lines that
 // exceed the rate or the queue are counted and dropped.
 type boundedWriter struct {
-	lines   chan []byte
-	now     func() time.Time
+	lines chan []byte
+	now   func() time.Time
+	// written counts the lines of the Unix second.
 	second  int64
 	written int
 }
--- a/internal/routing/health.go
+++ b/internal/routing/health.go
@@ -29,7 +29,7 @@
 	return !row.Server.Spec.Draining && !row.ListedLeaving
 }
 
-// ExclusionFilter excludes servers that reported a rest or that they are leaving.
+// ExclusionFilter excludes servers that reported that they accept no requests now.
 type ExclusionFilter struct{}
 
 // Allow implements Filter.
--- a/internal/routing/table.go
+++ b/internal/routing/table.go
@@ -61,7 +61,8 @@
 	// Errors counts consecutive failures of the server behind the agent.
 	Errors       int
 	EjectedUntil time.Time
-	// SelfReport holds the rest that the server asked for through its agent's current process.
+	// SelfReport holds how long the server accepts no requests, as its agent's current process
+	// reported.
 	SelfReport eligibility.Report
 	// slowness is the smoothed ratio of the server's service time to that of its peers.
 	slowness float64
