--- a/internal/httpapi/responseheaders.go
+++ b/internal/httpapi/responseheaders.go
@@ -10,11 +10,10 @@
 	"github.com/pkg/errors"
 )
 
-// ParseRetryAfter returns how long a server that refused a request with 503 or 429 wants to get no
-// more requests. Its Retry-After is a number of seconds, also with a fraction, or a date (RFC 9110,
-// section 10.2.3). A date is compared with the response's own Date because the clocks of two VMs may
-// differ. Of several values the longest applies. invalid is a value that can't be parsed; it is
-// ignored.
+// ParseRetryAfter returns the longest Retry-After of a response with status 503 or 429, or 0. A value
+// is a number of seconds, also with a fraction, or a date (RFC 9110, section 10.2.3). A date is
+// compared with the response's own Date, because the clocks of two VMs may differ. invalid is a value
+// that can't be parsed, which is ignored.
 func ParseRetryAfter(status int, h http.Header) (rest time.Duration, invalid string) {
 	if status != http.StatusServiceUnavailable && status != http.StatusTooManyRequests {
 		return 0, ""
--- a/internal/platformdaemon/agent.go
+++ b/internal/platformdaemon/agent.go
@@ -137,7 +137,7 @@
 				pull = a.exchange.Pull
 			}
 			if err := pull(ctx, peer); err != nil {
-				a.log.WithError(err).WithField("peer", peer).Debug("peer not reached")
+				a.log.WithError(err).WithField("peer", peer).Debug("peer unreachable")
 			}
 		}
 		if a.members.Config() != nil && a.members.Servers() != nil {
--- a/internal/platformdaemon/entry.go
+++ b/internal/platformdaemon/entry.go
@@ -290,7 +290,7 @@
 		}
 		for _, peer := range peers[:min(len(peers), count)] {
 			if err := e.exchange.Pull(ctx, peer); err != nil {
-				e.log.WithError(err).WithField("peer", peer).Debug("peer not reached")
+				e.log.WithError(err).WithField("peer", peer).Debug("peer unreachable")
 			}
 		}
 		timer := time.NewTimer(interval)
