--- a/internal/dispatch/pipeline.go
+++ b/internal/dispatch/pipeline.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"fmt"
 	"hash/fnv"
 	"time"
 
@@ -162,10 +161,9 @@
 		r.Customer = customer.Name
 	}
 	r.Priority = fleet.Priority(route, customer)
-	name := pickService(route, r.ID)
-	service := config.Service(name)
+	service := config.Service(pickService(route, r.ID))
 	if service == nil {
-		return target, failure.NotRun(failure.StepRoute, route.Name, failure.CodeNoServer, fmt.Sprintf("the route's service %q is not configured", name)).WithRetryAfter(noServerRetryAfter)
+		return target, failure.NotRun(failure.StepRoute, route.Name, failure.CodeNoServer, "the route's service is not configured").WithRetryAfter(noServerRetryAfter)
 	}
 	target.Service, target.Deadline = service.Name, r.ReceivedAt.Add(route.Timeout)
 	target.maxConnections = service.MaxConns
