--- a/cmd/crowbridge/change.go
+++ b/cmd/crowbridge/change.go
@@ -150,7 +150,7 @@
 		Action: func(ctx context.Context, cmd *cli.Command) error {
 			name := cmd.Args().First()
 			if name == "" {
-				return errors.New("backend server missing: use drain SERVER")
+				return errors.New("SERVER: missing: use crowbridge drain SERVER")
 			}
 			return call(ctx, cmd, func(ctx context.Context, api rpc.Operators) error {
 				current, err := currentObjects(ctx, api)
@@ -159,7 +159,7 @@
 				}
 				object := current[string(config.KindBackendServer)+"/"+name]
 				if object == nil {
-					return errors.Errorf("backend server %q doesn't exist", name)
+					return errors.Errorf("backend server %q doesn't exist: see crowbridge get BackendServer", name)
 				}
 				object.BackendServer.Draining = !cmd.Bool("undo")
 				changes, err := newChanges(ctx, api, []*config.Object{object}, cmd.Bool("force"))
@@ -232,7 +232,7 @@
 func kindAndName(cmd *cli.Command) (kind, name string, err error) {
 	const arguments = 2
 	if cmd.Args().Len() != arguments {
-		return "", "", errors.Errorf("want two arguments, KIND and NAME; kinds are %v", config.Kinds)
+		return "", "", errors.Errorf("arguments: use KIND NAME, with KIND one of %v", config.Kinds)
 	}
 	return cmd.Args().Get(0), cmd.Args().Get(1), nil
 }
--- a/cmd/crowbridged/agent.go
+++ b/cmd/crowbridged/agent.go
@@ -61,7 +61,7 @@
 	}
 	peers := c.Peers("entry-peer", cmd.StringSlice("entry-peer"))
 	if len(peers) == 0 {
-		c.AddError("entry-peer", "", errors.New("set at least one entry"))
+		c.AddError("entry-peer", "", errors.New("set at least one entry as zone=IP:port"))
 	}
 	return peers, c.Err()
 }
--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -129,7 +129,7 @@
 func outcomeOf(r *http.Response) string { return r.Header.Get(headers.Outcome) }
 
 var _ = Describe("keyed requests", func() {
-	It("run once and replay the recorded response to retries", func() {
+	It("run once, and their retries get the recorded response", func() {
 		var runs atomic.Int64
 		f := newFixture(func(w http.ResponseWriter, _ *http.Request) { fmt.Fprintf(w, "run %d", runs.Add(1)) }, 4)
 		key := newKey()
@@ -185,7 +185,7 @@
 		Expect(backend.runs.Load()).To(Equal(int64(1)))
 	})
 
-	It("stay unknown when the server drops the connection", func() {
+	It("run once and stay unknown when the server drops the connection", func() {
 		var runs atomic.Int64
 		f := newFixture(func(http.ResponseWriter, *http.Request) { runs.Add(1); panic(http.ErrAbortHandler) }, 4)
 		key := newKey()
@@ -196,7 +196,7 @@
 		Expect(runs.Load()).To(Equal(int64(1)))
 	})
 
-	It("return the response headers, also on replay", func() {
+	It("get the server's status and headers, also on replay", func() {
 		f := newFixture(func(w http.ResponseWriter, _ *http.Request) {
 			w.Header().Set("X-Receipt", "42")
 			w.WriteHeader(http.StatusCreated)
@@ -225,7 +225,7 @@
 		Expect(runs.Load()).To(Equal(int64(1)))
 	})
 
-	It("are closed at a draining server unless the key is known", func() {
+	It("are refused at a draining server, which closes the key, unless the key is known", func() {
 		f := newFixture(func(w http.ResponseWriter, _ *http.Request) { fmt.Fprint(w, "ran") }, 4)
 		knownKey := newKey()
 		f.do(testRequest{key: knownKey, body: "x"})
@@ -236,7 +236,7 @@
 		Expect(body).To(Equal("ran"))
 	})
 
-	It("are unknown if created before the agent started", func() {
+	It("are unknown and not run if created before the agent started", func() {
 		var runs atomic.Int64
 		f := newFixture(func(http.ResponseWriter, *http.Request) { runs.Add(1) }, 4)
 		old := uuid.Must(uuid.NewV7())
@@ -264,7 +264,7 @@
 		Expect(response.Header.Get(headers.Code)).To(Equal("server-lost"))
 	})
 
-	It("abort the response when the server drops a stream", func() {
+	It("get an aborted response and count as unknown when the server drops a stream", func() {
 		f := newFixture(func(w http.ResponseWriter, _ *http.Request) {
 			w.Header().Set("Content-Type", "text/event-stream")
 			fmt.Fprint(w, "id: 1\ndata: x\n\n")
--- a/internal/agent/handler.go
+++ b/internal/agent/handler.go
@@ -40,7 +40,7 @@
 func (a *Agent) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	daemonKey := r.Header.Get(headers.DaemonKey)
 	if subtle.ConstantTimeCompare([]byte(daemonKey), []byte(a.options.Key)) != 1 {
-		a.refuse(w, failure.NotRun(failure.StepAuthenticate, a.options.Server, failure.CodeUnauthorized, "wrong daemon key"))
+		a.refuse(w, failure.NotRun(failure.StepAuthenticate, a.options.Server, failure.CodeUnauthorized, "daemon key: wrong: use the same key at all daemons"))
 		return
 	}
 	a.enter()
@@ -160,7 +160,7 @@
 			"entry and agent disagree about the homes of this key: retry").WithRetryAfter(retryHint)
 	case outcome.DecisionFull:
 		return failure.NotRun(failure.StepQueue, server, failure.CodeOverloaded,
-			"the table of idempotency keys is full").WithRetryAfter(retryHint)
+			"the table of idempotency keys is full: retry later").WithRetryAfter(retryHint)
 	case outcome.DecisionClosed:
 		j.writer.Header().Set(headers.KeyClosed, "1")
 		return failure.NotRun(failure.StepQueue, server, failure.CodeLeaving, "the server is leaving: the next home may run the key").WithRetryAfter(retryHint)
--- a/internal/crash/detector_test.go
+++ b/internal/crash/detector_test.go
@@ -186,7 +186,7 @@
 		Expect(published()).To(HaveLen(1))
 	})
 
-	It("and another one quarantine the request at all daemons, by pull and by push", func() {
+	It("causes the request's quarantine at all daemons once a second server has exited, by pull and by push", func() {
 		_, puller := newTestDetector()
 		_, receiver := newTestDetector()
 		detector.RecordConnectionLoss(d, quarantine.RequestInfo{Customer: "c", Path: "/"}, serverA)
--- a/internal/daemon/auth.go
+++ b/internal/daemon/auth.go
@@ -76,7 +76,7 @@
 func RequireKey(key string, next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if subtle.ConstantTimeCompare([]byte(r.Header.Get(headers.DaemonKey)), []byte(key)) != 1 {
-			http.Error(w, "wrong daemon key", http.StatusUnauthorized)
+			http.Error(w, "daemon key: wrong: use the same key at all daemons", http.StatusUnauthorized)
 			return
 		}
 		next.ServeHTTP(w, r)
--- a/internal/dispatch/pipeline_test.go
+++ b/internal/dispatch/pipeline_test.go
@@ -84,7 +84,7 @@
 			Expect(b.recorder.starts).To(BeZero())
 		})
 
-		It("relays a server's error response unchanged", func() {
+		It("gets a server's error response unchanged", func() {
 			b := newFixture(respondsSigned(http.StatusInternalServerError, "oops"))
 			Expect(b.serve("once").Failure).To(BeNil())
 			Expect(b.recorder.status).To(Equal(http.StatusInternalServerError))
@@ -104,7 +104,7 @@
 			Expect(b.recorder.body.String()).To(Equal("half and half"))
 		})
 
-		It("relays the last error response when no attempt is left", func() {
+		It("gets the last error response when no attempt is left", func() {
 			b := newFixture(respondsSigned(http.StatusInternalServerError, "1"), respondsSigned(http.StatusInternalServerError, "2"))
 			Expect(b.serve("again").Failure).To(BeNil())
 			Expect(b.recorder.body.String()).To(Equal("2"))
@@ -116,7 +116,7 @@
 		})
 	})
 
-	DescribeTable("never relays a foreign or incomplete response", func(r reply) {
+	DescribeTable("never gets a foreign or incomplete response", func(r reply) {
 		b := newFixture(r)
 		result := b.serve("once")
 		Expect(result.Failure.Outcome).To(Equal(failure.OutcomeUnknown))
@@ -125,7 +125,7 @@
 		Entry("of another request", responds(http.StatusOK, ResponseInfo{Signed: true, RequestID: "other"}, "x", false)),
 		Entry("without a signature", responds(http.StatusOK, ResponseInfo{}, "x", false)),
 		Entry("with an encoded body", responds(http.StatusOK, ResponseInfo{Signed: true, Encoded: true}, "x", false)),
-		Entry("truncated", resetsAfter("x")),
+		Entry("that is truncated", resetsAfter("x")),
 	)
 
 	It("is logged with its ID, the configuration and the cause", func() {
--- a/internal/entry/access_test.go
+++ b/internal/entry/access_test.go
@@ -14,7 +14,7 @@
 	. "github.com/onsi/gomega"
 )
 
-var _ = Describe("request validation and access", func() {
+var _ = Describe("an entry", func() {
 	DescribeTable("rejects invalid requests with a 4xx that names the cause",
 		func(key, path, body string, headers header, status int, text string) {
 			f := newFixture([]string{fakeAgent(respondWith("ok"))}, []string{fakeAgent(respondWith("ok"))})
--- a/internal/entry/admin.go
+++ b/internal/entry/admin.go
@@ -42,14 +42,14 @@
 	index := e.snapshot.Load().index
 	customer := index.Customer(customerName)
 	if customer == nil {
-		return "", nil, errors.Errorf("customer %q doesn't exist", customerName)
+		return "", nil, errors.Errorf("customer: %q doesn't exist: use the name of a configured customer", customerName)
 	}
 	route := index.RouteForModel(customer, model, e.now())
 	if path != "" {
 		route = index.RouteForPath(customer, path, e.now())
 	}
 	if route == nil {
-		return "", nil, errors.New("the customer has no active route for this model or path")
+		return "", nil, errors.New("the customer has no active route for this model or path: check the routes' customers and windows")
 	}
 	reasons := index.Explain(route)
 	for name, reason := range reasons {
--- a/internal/entry/entry_test.go
+++ b/internal/entry/entry_test.go
@@ -25,7 +25,7 @@
 
 func outcomeOf(response *http.Response) string { return response.Header.Get(headers.Outcome) }
 
-var _ = Describe("outcomes", func() {
+var _ = Describe("an entry", func() {
 	It("relays the complete response", func() {
 		f := newFixture([]string{fakeAgent(respondWith("complete response"))}, nil)
 		response, body := f.post(keyOfRozsa, "/v1/chat/completions", completion, nil)
@@ -83,7 +83,7 @@
 		}
 	})
 
-	It("retries a request that a leaving server refused on another server", func() {
+	It("retries on another server a request that a leaving server refused", func() {
 		refused := refuseWith(failure.NotRun(failure.StepQueue, "", failure.CodeLeaving, "leaving"))
 		f := newFixture(nil, []string{fakeAgent(refused), fakeAgent(respondWith("ran"))})
 		for range 8 {
--- a/internal/entry/serve.go
+++ b/internal/entry/serve.go
@@ -91,7 +91,7 @@
 	sum := sha256.Sum256([]byte(header[len(bearerPrefix):]))
 	x.customer = e.snapshot.Load().index.CustomerByKeyHash(hex.EncodeToString(sum[:]))
 	if x.customer == nil {
-		return failure.NotRun(failure.StepAuthenticate, "", failure.CodeUnauthorized, "Authorization: unknown API key")
+		return failure.NotRun(failure.StepAuthenticate, "", failure.CodeUnauthorized, "Authorization: unknown API key: send a valid one")
 	}
 	return nil
 }
@@ -116,7 +116,7 @@
 	cancel := e.cancels[requestRef{customer: x.customer.Name, requestID: id}]
 	e.mu.Unlock()
 	if cancel == nil {
-		writeFailure(x, failure.NotRun(failure.StepRoute, "", failure.CodeNotFound, "you have no such request in flight at this entry"))
+		writeFailure(x, failure.NotRun(failure.StepRoute, "", failure.CodeNotFound, "you have no request with this ID in flight at this entry: check the ID, and cancel at the entry that received the request"))
 		return
 	}
 	cancel(nil)
@@ -130,7 +130,7 @@
 	}
 	if !e.admit(x) {
 		writeFailure(x, failure.NotRun(failure.StepQueue, e.options.Name, failure.CodeOverloaded,
-			"customer.maxInFlight reached at this entry").WithRetryAfter(time.Second))
+			"customer.maxInFlight: too many of your requests are in flight at this entry: retry when one has ended").WithRetryAfter(time.Second))
 		return
 	}
 	e.execute(x)
--- a/internal/experts/agent_test.go
+++ b/internal/experts/agent_test.go
@@ -359,10 +359,10 @@
 	})
 })
 
-var _ = DescribeTable("the lead of a switch in passes", func(arming, pass time.Duration, want int64) {
+var _ = DescribeTable("the lead of a switch is", func(arming, pass time.Duration, want int64) {
 	Expect(leadPasses(arming, pass)).To(Equal(want))
 },
-	Entry("if arming is fast", 12*time.Millisecond, 60*time.Millisecond, int64(0)),
-	Entry("if arming takes most of a pass", 45*time.Millisecond, 60*time.Millisecond, int64(2)),
-	Entry("if arming takes several passes", 170*time.Millisecond, 80*time.Millisecond, int64(4)),
+	Entry("zero passes if arming is fast", 12*time.Millisecond, 60*time.Millisecond, int64(0)),
+	Entry("two passes if arming takes most of a pass", 45*time.Millisecond, 60*time.Millisecond, int64(2)),
+	Entry("four passes if arming takes more than two", 170*time.Millisecond, 80*time.Millisecond, int64(4)),
 )
--- a/internal/membership/membership_suite_test.go
+++ b/internal/membership/membership_suite_test.go
@@ -137,7 +137,7 @@
 	return ids
 }
 
-var _ = Describe("following the store", func() {
+var _ = Describe("a daemon that follows the store", func() {
 	It("has no configuration and no servers before the first read", func() {
 		f := newFixture()
 		Expect(f.members.Config()).To(BeNil())
--- a/internal/membership/restoredstore_test.go
+++ b/internal/membership/restoredstore_test.go
@@ -53,7 +53,7 @@
 		Expect(f.members.positions().operators).To(Equal(storelog.NewPosition(1, 2)))
 	})
 
-	It("keeps leaving and removed servers so, and lets missing ones register again", func() {
+	It("keeps leaving servers leaving and removed ones removed for a limited time, and lets missing ones register again", func() {
 		f.store.restoreCopy(1, 3)
 		Expect(f.read()).To(Succeed())
 		Expect(f.ids()).To(ConsistOf("a", "b", "d"))
--- a/internal/quarantine/table_test.go
+++ b/internal/quarantine/table_test.go
@@ -111,7 +111,7 @@
 		Expect(table.Admit(d, start).State).To(Equal(quarantine.Suspect))
 	})
 
-	It("counts each exit of a server that restarts under its ID once", func() {
+	It("has each exit of a server that restarts under its ID counted once", func() {
 		exitUnderRequest(table, d, "a", start)
 		exitUnderRequest(table, d, "a", start.Add(time.Millisecond))
 		Expect(state(start)).To(Equal(quarantine.Suspect))
@@ -185,7 +185,7 @@
 		Expect(table.Quarantined(start)).To(BeEmpty())
 	})
 
-	It("expires, and the oldest are evicted first beyond the bound", func() {
+	It("expires, and the oldest ones are evicted first when the table is full", func() {
 		exitUnderRequest(table, d, "a", start)
 		table.Admit(digest(2), start.Add(2*time.Hour))
 		Expect(table.Hash()).To(BeZero())
@@ -221,7 +221,7 @@
 
 // Tables that exchange all evidence must converge regardless of order and repetition, and no
 // request may be quarantined after fewer than two server exits.
-var _ = It("tables that exchange evidence converge", func() {
+var _ = It("tables that exchange evidence converge, and quarantine no request after fewer than two exits", func() {
 	rapid.Check(GinkgoT(), func(t *rapid.T) {
 		const tables, requests, servers = 3, 3, 4
 		all := make([]*quarantine.Table, tables)
--- a/internal/ranks/ranks_test.go
+++ b/internal/ranks/ranks_test.go
@@ -200,7 +200,7 @@
 		Expect(engine.executed()).To(BeEmpty())
 	})
 
-	It("use an unresponsive agent's engine without waiting, and the agent again once it responds", func() {
+	It("go to an unresponsive agent's engine without waiting, and to the agent again once it responds", func() {
 		c := connect(key)
 		reachable := c.directory
 		c.directory = fixedDirectory{Endpoints{Server: "s", Agent: "127.0.0.1:1", Engine: "127.0.0.1:2", ChecksFence: true}}
--- a/internal/routing/routing_test.go
+++ b/internal/routing/routing_test.go
@@ -223,7 +223,7 @@
 })
 
 var _ = Describe("polling", func() {
-	It("polls every server, the own zone more often", func() {
+	It("reaches every server, those of its own zone more often", func() {
 		servers := newServers([]string{"a", "b"}, 10)
 		table := NewTable("a")
 		byName := map[string]*selector.Server{}
