--- a/standins/bench/path.go
+++ b/standins/bench/path.go
@@ -254,7 +254,7 @@
 	return (user + system) / clockTick
 }
 
-// rssMiB returns the resident memory of a process.
+// rssMiB returns the resident memory of a process in MiB.
 func rssMiB(p *harness.Process) float64 {
 	data, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", p.PID()))
 	if err != nil {
--- a/standins/bench/quarantine.go
+++ b/standins/bench/quarantine.go
@@ -59,11 +59,11 @@
 }
 
 const (
-	// simRepeats is how often a caller repeats a request that crashes servers, after
-	// simRepeatInterval each.
-	simRepeats        = 20
-	simRepeatInterval = 300 * time.Millisecond
-	crashSimEntries   = 8
+	// crashSimRecoveries is the duration of a simulation per crashing request, in units of
+	// groupRecoveryTime. crashSimInterval is the time between two requests of any caller.
+	crashSimRecoveries = 20
+	crashSimInterval   = 300 * time.Millisecond
+	crashSimEntries    = 8
 	// crashSimHealthy is the number of healthy requests in progress at each rank.
 	crashSimHealthy = 12
 	// detectionDelay is the time until a crash is detected, gossipDelay that until other
@@ -73,7 +73,7 @@
 	groupRecoveryTime = 4 * time.Second
 )
 
-// evidenceUpdate is evidence that reaches all entries at a time.
+// evidenceUpdate is evidence that reaches all entries at deliverAt.
 type evidenceUpdate struct {
 	deliverAt time.Time
 	evidence  []quarantine.Evidence
@@ -92,7 +92,7 @@
 	openAt, crashes, baselineCrashes, healthy, quarantined := now, 0, 0, 0, 0
 	baselineOpenAt := now
 	var updates []evidenceUpdate
-	for n := range simRepeats * crashing * int(groupRecoveryTime/simRepeatInterval) {
+	for n := range crashSimRecoveries * crashing * int(groupRecoveryTime/crashSimInterval) {
 		for _, update := range updates {
 			if !now.Before(update.deliverAt) {
 				for _, table := range tables {
@@ -118,7 +118,7 @@
 				quarantined++
 			}
 		}
-		now = now.Add(simRepeatInterval)
+		now = now.Add(crashSimInterval)
 	}
 	name := fmt.Sprintf("quarantine/%d_ranks_%d_guilty", ranks, crashing)
 	r.Compare(name+"_servers_ended", float64(crashes), "servers", float64(baselineCrashes))
@@ -129,8 +129,8 @@
 	return quarantine.DigestOf("c", "POST", "h", "/", fmt.Appendf(nil, "healthy request %d of crash %d", i, crash))
 }
 
-// crashRank records the requests that a crash interrupts, a crashing one at one entry
-// and healthy ones at all entries, and returns the resulting evidence.
+// crashRank records the requests that a crash interrupts, the crashing one at one entry and
+// healthy ones at all entries, and returns the resulting evidence.
 func crashRank(tables []*quarantine.Table, observer *quarantine.Table, crashing quarantine.Digest, server string, crash int, now time.Time) evidenceUpdate {
 	observer.RecordConnectionLoss(crashing, quarantine.RequestInfo{}, server, now)
 	for i := range crashSimHealthy {
--- a/standins/bench/rebalance.go
+++ b/standins/bench/rebalance.go
@@ -18,8 +18,8 @@
 	{"weighs-moves", 1, 0.5},
 }
 
-// reportWeight is the weight of the latest measurement in the moving average.
-const reportWeight = 0.5
+// measurementWeight is the weight of the latest measurement in the moving average.
+const measurementWeight = 0.5
 
 // rebalanceRun contains the results of a policy over a trace.
 type rebalanceRun struct {
@@ -112,7 +112,7 @@
 	}
 	for layer := range measured {
 		for expert, value := range measured[layer] {
-			s.estimate[layer][expert] += reportWeight * (value - s.estimate[layer][expert])
+			s.estimate[layer][expert] += measurementWeight * (value - s.estimate[layer][expert])
 		}
 	}
 }
--- a/standins/bench/routing.go
+++ b/standins/bench/routing.go
@@ -201,9 +201,9 @@
 
 func (r *Reporter) policies() {
 	policies := []struct {
-		name   string
-		own    bool
-		choose func(s *policySim) func(int, uint64) int
+		name          string
+		countInFlight bool
+		choose        func(s *policySim) func(int, uint64) int
 	}{
 		{"random", false, func(s *policySim) func(int, uint64) int {
 			return func(int, uint64) int { return s.random.IntN(simServers) }
@@ -218,7 +218,7 @@
 	base := 0.0
 	for _, p := range policies {
 		s := newPolicySim(5)
-		s.run(p.choose(s), p.own)
+		s.run(p.choose(s), p.countInFlight)
 		p99 := Quantile(s.latencies, 0.99)
 		if base == 0 {
 			base = p99
--- a/standins/cmd/days/main.go
+++ b/standins/cmd/days/main.go
@@ -1,7 +1,7 @@
 // Command days compares reports of simulated runs with load and faults: it prints a table of
 // scores, outcomes and penalties, and plots the scores over time.
 //
-//	days --set before='r/base-*.json' --set after='r/new-*.json' --plot credit.svg
+//	days --set before='r/base-*.json' --set after='r/new-*.json' --plot score.svg
 package main
 
 import (
--- a/standins/cmd/demo/main.go
+++ b/standins/cmd/demo/main.go
@@ -88,7 +88,7 @@
 			}
 			return cluster.Processes["agent-engine-budaors-1"].Start()
 		}},
-		{time.Second, "the log is back", func() error { return cluster.InjectFault("/fault/log", `{}`) }},
+		{time.Second, "bring the log back", func() error { return cluster.InjectFault("/fault/log", `{}`) }},
 	}
 	for _, s := range steps {
 		time.Sleep(s.after)
--- a/standins/engine/engine.go
+++ b/standins/engine/engine.go
@@ -92,7 +92,7 @@
 		request.Model, e.options.Name, operation, request.MaxTokens)
 }
 
-// awaitStep waits for one step of the batch. It returns false if the caller disconnected.
+// awaitStep waits for one step of the batch. It reports whether the caller is still connected.
 func (e *Engine) awaitStep(r *http.Request) bool {
 	load := max(float64(e.active.Load())/float64(e.options.BatchSize), 1)
 	timer := time.NewTimer(time.Duration(float64(e.options.StepTime) * load))
--- a/standins/engine/group.go
+++ b/standins/engine/group.go
@@ -42,7 +42,7 @@
 	Passes int64 `json:"passes"`
 	// MixedPasses counts the passes that started with different maps at two ranks.
 	MixedPasses int `json:"mixed"`
-	// Maps counts the passes with each map.
+	// Maps counts the passes by the map of rank 0.
 	Maps map[MapID]int `json:"maps"`
 	// PassIntervalsUs are the times between the starts of the latest passes, in microseconds.
 	PassIntervalsUs []int64 `json:"gapsUs"`
--- a/standins/harness/layout.go
+++ b/standins/harness/layout.go
@@ -32,7 +32,8 @@
 	ClockSkewMs      int
 	// DrainTimeout bounds a graceful stop.
 	DrainTimeout time.Duration
-	// Quiet limits logs to warnings and disables the count of executions, for benchmarks.
+	// Quiet limits logs to warnings and disables the count of executions outside the group of
+	// ranks, for benchmarks.
 	Quiet bool
 	// EntryArgs and AgentArgs are appended to the daemons' arguments and override them.
 	EntryArgs, AgentArgs []string
@@ -63,8 +64,8 @@
 	Protocol            string
 	Group               string // of ranks; empty for other servers
 	Rank                int
-	backend             string
-	address             string
+	backend             string // address of the backend server itself
+	address             string // of the agent, like control and metrics
 	control             string
 	metrics             string
 	// proxyAddress is the agent's address at the proxy, or empty.
--- a/standins/limitsim/limitsim.go
+++ b/standins/limitsim/limitsim.go
@@ -21,7 +21,7 @@
 	Window = 4 * time.Second
 	// SettleTime is the time until all daemons enforce a changed limit.
 	SettleTime = 3 * time.Second
-	// sendInterval is the minimum time between a daemon's messages.
+	// sendInterval is the minimum time from a daemon's refresh to its next update.
 	sendInterval = 10 * time.Millisecond
 	// Defaults of Sim.MaxDelay and Daemon.RequestRate.
 	defaultMaxDelay    = 4 * time.Millisecond
@@ -39,14 +39,14 @@
 	Table *ratelimit.Table
 	// RequestRate is the number of requests per second that callers send to it.
 	RequestRate float64
-	// Partition is that of the network: only daemons of the same one exchange messages.
+	// Partition is the daemon's network partition. Only daemons of the same one exchange messages.
 	Partition int
 	// FrozenUntil is the time at which a suspended daemon resumes. Messages wait until then.
 	FrozenUntil time.Time
 	Stopped     bool
 
-	lastSent time.Time
-	inbox    []message
+	lastRefresh time.Time
+	inbox       []message
 }
 
 type message struct {
@@ -98,8 +98,8 @@
 	return s
 }
 
-// AddDaemon adds a daemon to the partition of a running one. A daemon that starts without
-// any reachable peer would use the whole limit.
+// AddDaemon adds a daemon to the partition of the last running one: without a reachable peer
+// it would use the whole limit.
 func (s *Sim) AddDaemon() {
 	s.nextID++
 	d := &Daemon{Table: ratelimit.New(s.nextID, s.Random.Float64), RequestRate: defaultRequestRate}
@@ -160,9 +160,9 @@
 			s.sendRequest(d)
 		}
 	}
-	switch since := s.Now.Sub(d.lastSent); {
+	switch since := s.Now.Sub(d.lastRefresh); {
 	case since >= d.Table.RefreshInterval():
-		d.lastSent = s.Now
+		d.lastRefresh = s.Now
 		s.send(i, d.Table.RefreshMessages(s.Now))
 	case since >= sendInterval:
 		if updates := d.Table.Updates(s.Now); len(updates) > 0 {
@@ -211,7 +211,7 @@
 }
 
 // CountSince returns the number of requests to all servers since a time, and the maximum for
-// one server in a window that starts after it.
+// one server in a window that starts at or after it.
 func (s *Sim) CountSince(from time.Time) (count, maxInWindow int) {
 	for _, sent := range s.SentByServer {
 		first, _ := slices.BinarySearchFunc(sent, from, time.Time.Compare)
--- a/standins/loadgen/loadgen.go
+++ b/standins/loadgen/loadgen.go
@@ -1,6 +1,6 @@
 // Package loadgen sends requests of several customers to entries and validates every
-// response: it must be complete and belong to the request, the request must have run at most
-// once, and not at all if the response says so.
+// response: it must be complete and belong to the request. A request that isn't idempotent
+// must have run at most once, and no request if its response says "not-run".
 package loadgen
 
 import (
@@ -50,17 +50,18 @@
 	Duplicated int
 	// FalseNotRun counts operations that ran although their last outcome was "not-run".
 	FalseNotRun int
-	// Invalid counts responses that were truncated, out of order or of another request.
+	// Invalid counts responses that had no outcome, were truncated, lost or duplicated a token,
+	// belonged to another request, or answered a request that no server ran.
 	Invalid int
 	// NoResponse counts requests without a response.
 	NoResponse int
-	// Latencies are those of answered requests.
+	// Latencies are those of answered requests, retries included.
 	Latencies []time.Duration
-	// Notes describe the first failures.
+	// Notes describe the first failed checks and requests that were not answered.
 	Notes []string
 }
 
-// OK reports whether no check failed and every request has an outcome.
+// OK reports whether no check failed and the counts of outcomes add up to Sent.
 func (r *Report) OK() bool {
 	return r.Duplicated == 0 && r.FalseNotRun == 0 && r.Invalid == 0 && r.Sent == r.Answered+r.NotRun+r.Unknown+r.NoResponse
 }
--- a/standins/platformdaemon/compaction_test.go
+++ b/standins/platformdaemon/compaction_test.go
@@ -12,11 +12,12 @@
 )
 
 // propagationTimeout bounds how late a configuration may reach an entry. It is well below the
-// wait of a long poll, so a poll that misses the configuration fails the test.
+// wait time of a long poll, so the test fails if an entry relies on a poll that misses the
+// configuration.
 const propagationTimeout = 14 * time.Second
 
-// A long poll that the store never ends must not keep entries from a configuration that is written
-// after a compaction: revoked keys would still be accepted.
+// A long poll that misses a configuration written after a compaction must not keep entries from it:
+// they would still accept revoked keys.
 func TestEntriesReceiveConfigurationAfterCompaction(t *testing.T) {
 	RegisterTestingT(t)
 	store := standin.NewStore()
@@ -48,7 +49,7 @@
 
 	store.SetFaults(standin.Faults{StallReads: true})
 	store.Compact(platform.TopicOperators)
-	time.Sleep(time.Second) // until each entry has started a long poll that never ends
+	time.Sleep(time.Second) // until each entry has started a long poll that misses new records
 	store.SetFaults(standin.Faults{})
 	store.Put(platform.TopicOperators, "config", configVersion(2, `"k2"`))
 	for _, entry := range entries {
--- a/standins/platformdaemon/connlimit_test.go
+++ b/standins/platformdaemon/connlimit_test.go
@@ -23,9 +23,9 @@
 
 // connLimitedServer resets connections beyond maxConns.
 type connLimitedServer struct {
-	mu          sync.Mutex
-	open, worst int
-	resets      int
+	mu            sync.Mutex
+	open, maxOpen int
+	resets        int
 }
 
 // state counts open connections and resets those beyond the limit. It is the server's ConnState.
@@ -35,7 +35,7 @@
 	switch state {
 	case http.StateNew:
 		s.open++
-		s.worst = max(s.worst, s.open)
+		s.maxOpen = max(s.maxOpen, s.open)
 		if s.open > maxConns {
 			s.resets++
 			if tcp, ok := conn.(*net.TCPConn); ok {
@@ -85,7 +85,7 @@
 	time.Sleep(saturationTime)
 	stop()
 	for i, s := range servers {
-		Expect(s.resets).To(BeZero(), "connections reset by server %d, which had up to %d open with a limit of %d", i, s.worst, maxConns)
+		Expect(s.resets).To(BeZero(), "connections reset by server %d, which had up to %d open with a limit of %d", i, s.maxOpen, maxConns)
 	}
 	for status, n := range statuses {
 		Expect(status).To(BeElementOf(http.StatusOK, http.StatusTooManyRequests, http.StatusServiceUnavailable), "%d responses", n)
--- a/standins/platformdaemon/platformdaemon_test.go
+++ b/standins/platformdaemon/platformdaemon_test.go
@@ -289,7 +289,7 @@
 			status, _ := get(second, "/a/x", "k2")
 			return status
 		}, testTimeout).Should(Equal(http.StatusOK))
-		// Registrations are polled every 0.9 s.
+		// Registrations are polled every 0.9 s, so this bounds the delay.
 		Expect(registrationReads.Load() - before).To(BeNumerically("<=", 3))
 	})
 
@@ -322,7 +322,7 @@
 })
 
 var _ = Describe("agent daemons", func() {
-	It("elect a lease holder that rebalances experts, and no pass uses two maps", func() {
+	It("elect a lease holder that rebalances experts, replace it when it stops, and never use two maps in a pass", func() {
 		store := standin.NewStore()
 		settings := entrySettings("127.0.0.1", serveForSpec("127.0.0.1:0", store))
 		store.Put(platform.TopicOperators, "config", configVersion(1, `"k1"`))
--- a/standins/platformdaemon/randomservers_test.go
+++ b/standins/platformdaemon/randomservers_test.go
@@ -42,7 +42,7 @@
 
 	mu      sync.Mutex
 	startID int64
-	// abortsStreams ends streams after their first event.
+	// abortsStreams aborts streams after their next event, unless it is the last.
 	abortsStreams bool
 	// The server refuses requests until refuseUntil and asks for rest in each refusal.
 	refuseUntil time.Time
@@ -210,7 +210,8 @@
 }
 
 // Servers rest, leave, restart and announce limits at random. No request may reach a server that
-// excluded it, and a request that runs is never reported as refused.
+// excluded it. A request runs once if it is served, and never if it is refused; a stream may run at
+// several ranks and fail, but is never incomplete without an error.
 func TestRandomRestsLeavesAndLimitsAreRespected(t *testing.T) {
 	for seed, ranks := range []bool{false, false, true, true} {
 		t.Run(fmt.Sprintf("seed %d, ranks of a group: %t", seed, ranks), func(t *testing.T) { testRandomServers(t, uint64(seed), ranks) })
--- a/standins/platformdaemon/restoredstore_test.go
+++ b/standins/platformdaemon/restoredstore_test.go
@@ -65,8 +65,8 @@
 		version++
 		store.Put(platform.TopicOperators, "config", configVersion(version, keys))
 	}
-	// Two configurations are lost. The restored log ends one offset before, at, and one after the
-	// last one read.
+	// Two configurations are lost in each round. With the records written after the restore, the log
+	// ends one offset before, at, and one after the last one read.
 	for round := range 3 {
 		revoked, added := fmt.Sprint("a", round), fmt.Sprint("b", round)
 		store.TakeBackup()
--- a/standins/runreport/runreport_test.go
+++ b/standins/runreport/runreport_test.go
@@ -13,8 +13,8 @@
  "windows":[{"name":"0","n":50,"in_aim":50,"worth":1.0},{"name":"2","n":50,"in_aim":10,"worth":%C%}],
  "prices":[["machine-seconds",900.0,0.02],["worth refused again",80.0,0.04]]}`
 
-func decode(g *WithT, worth, credit string) *Report {
-	r, err := Decode([]byte(strings.NewReplacer("%G%", worth, "%C%", credit).Replace(report)))
+func decode(g *WithT, score, windowScore string) *Report {
+	r, err := Decode([]byte(strings.NewReplacer("%G%", score, "%C%", windowScore).Replace(report)))
 	g.Expect(err).NotTo(HaveOccurred())
 	return r
 }
--- a/standins/scenarios/scenarios_test.go
+++ b/standins/scenarios/scenarios_test.go
@@ -215,8 +215,8 @@
 	}(r.options, r.loads)
 }
 
-// cmdCheck waits for the end of the load. It checks that the counts add up, and that each named count
-// is at most the given number:
+// cmdCheck waits for the end of the load. It checks that every outcome is valid, that some requests
+// were answered, and that each named count is at most the given number:
 // check [unknown=N] [not-run=N] [silent=N]
 func cmdCheck(ts *testscript.TestScript, _ bool, args []string) {
 	r, v := deploymentOf(ts), parseValues(ts, args)
@@ -228,7 +228,7 @@
 		ts.Logf("  %s", note)
 	}
 	if !report.OK() {
-		ts.Fatalf("the counts don't add up: %s", report)
+		ts.Fatalf("checks of the outcomes failed: %s", report)
 	}
 	if report.Answered == 0 {
 		ts.Fatalf("no request was answered: %s", report)
--- a/standins/soak/faults.go
+++ b/standins/soak/faults.go
@@ -113,8 +113,8 @@
 			return errors.Wrap(err, "change")
 		}
 		out, err := r.cluster.RunCLI("apply", "-f", path, "--reason", "soak")
-		verdict := strings.TrimSpace(out)
-		r.logf("change %d: %.80s", weight, verdict)
+		outcome := strings.TrimSpace(out)
+		r.logf("change %d: %.80s", weight, outcome)
 		if err == nil {
 			r.acceptedWeights[customer] = weight
 		} else {
--- a/standins/soak/resting.go
+++ b/standins/soak/resting.go
@@ -24,8 +24,8 @@
 	random  *rand.Rand
 
 	mu sync.Mutex
-	// disrupted holds the times in which a process was killed, stopped or paused: an agent may have
-	// lost the rest or limit then, or not received it yet.
+	// disrupted holds the periods of faults by target: an agent that is killed, stopped or paused may
+	// lose a rest or limit, or not have received it yet.
 	disrupted map[string][]span
 }
 
--- a/standins/soak/restoring.go
+++ b/standins/soak/restoring.go
@@ -30,7 +30,7 @@
 	return &storeRestorer{cluster: cluster, random: rand.New(rand.NewPCG(seed, 3)), logf: logf}
 }
 
-// run takes backups of the store and restores them until the context ends.
+// run takes backups of the store and restores it from them until the context ends.
 func (s *storeRestorer) run(ctx context.Context) {
 	for s.err == nil && wait.For(ctx, time.Duration(s.random.Int64N(int64(maxBackupInterval)))) {
 		s.err = s.cluster.InjectFault("/fault/log/copy", "")
--- a/standins/soak/soak.go
+++ b/standins/soak/soak.go
@@ -1,6 +1,6 @@
 // Package soak runs the real programs as separate processes, injects random faults into them while
-// callers send requests, and checks the guarantees. The same seed draws the same faults at the same
-// times.
+// callers send requests, and checks the guarantees. A seed determines the random draws; the timing of
+// the processes may change which faults start, and when.
 package soak
 
 import (
@@ -29,7 +29,7 @@
 }
 
 const (
-	// maxFaults is how many faults overlap at most.
+	// maxFaults bounds the number of overlapping faults.
 	maxFaults = 3
 	// maxFaultGap bounds the time between two faults, maxFaultTime the duration of a fault.
 	maxFaultGap  = 700 * time.Millisecond
@@ -123,7 +123,7 @@
 		return errors.Wrapf(err, "seed %d", o.Seed)
 	}
 	if !result.report.OK() || result.report.Answered == 0 {
-		return errors.Errorf("seed %d: the counts don't add up: %s", o.Seed, result.report)
+		return errors.Errorf("seed %d: checks of the outcomes failed: %s", o.Seed, result.report)
 	}
 	return errors.Wrapf(r.settle(), "seed %d", o.Seed)
 }
--- a/standins/soak/soak_test.go
+++ b/standins/soak/soak_test.go
@@ -12,9 +12,9 @@
 	seed  uint64
 	cause string
 }{
-	{424, "the port of a restarting entry was in use; the process that used it was not found, but another soak and tests shared the port range"},
+	{424, "the port of a restarting entry was in use, probably by another run that shared the port range"},
 	{710, "an entry read past the end of a log that was restored from a backup shorter than what it had read"},
-	{10, "the drain timeout was shorter than the deadline of requests: four requests whose responses were lost were aborted"},
+	{10, "the drain timeout was shorter than the deadline of requests: requests whose responses were lost were aborted"},
 }
 
 // soakLength is short since CI runs one seed and the regressions.
