--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -172,7 +172,7 @@
 		Expect(VerifyAudit(s.Audit)).To(MatchError(ContainSubstring("altered")))
 	})
 
-	It("contains no API keys", func() {
+	It("names changed objects without their content", func() {
 		s := NewState()
 		applyManifest(s, "1", "kind: Customer\nname: c\ncustomer: {keyHashes: ["+strings.Repeat("ab", 32)+"]}\n", 0)
 		Expect(s.Audit[0].Objects).To(Equal([]string{"Customer/c"}))
--- a/internal/dispatch/pipeline_test.go
+++ b/internal/dispatch/pipeline_test.go
@@ -159,7 +159,7 @@
 		Expect(lines(b, "id-stream")).To(Equal([]string{"request failed: not-run/queue: the group has been broken for 1s"}))
 	})
 
-	It("identifies repeated requests by digest, and lost connections", func() {
+	It("identifies repeated requests by their digest and marks lost connections", func() {
 		b := newFixture(failsToSend(true), failsToSend(true))
 		for _, id := range []string{"first", "second"} {
 			r := b.request("once", 8*time.Second)
--- a/internal/dispatch/quarantine_test.go
+++ b/internal/dispatch/quarantine_test.go
@@ -141,7 +141,7 @@
 })
 
 var _ = Describe("suspect requests", func() {
-	It("are kept on different servers while possible", func() {
+	It("are sent to different servers while possible", func() {
 		b := newFixture()
 		servers := b.fleet.Servers().OfService("plain")
 		suspect := &Request{Suspect: true}
--- a/internal/membership/membership_suite_test.go
+++ b/internal/membership/membership_suite_test.go
@@ -212,7 +212,7 @@
 			Expect(f.ids()).To(ConsistOf("a"))
 		})
 
-		It("removes a server at once that is deleted after the first read that follows", func() {
+		It("removes a server at once that is deleted after the first successful read", func() {
 			f := newFixture()
 			f.store.append(TopicServers, "a", "1.1.1.1:1")
 			Expect(f.read()).To(Succeed())
@@ -225,7 +225,7 @@
 			Expect(f.ids()).To(BeEmpty())
 		})
 
-		It("removes a server at once when only this daemon lost the store", func() {
+		It("removes a deleted server at once when only this daemon lost the store", func() {
 			f, other := newFixture(), newFixture()
 			f.store.append(TopicServers, "a", "1.1.1.1:1")
 			Expect(f.read()).To(Succeed())
@@ -242,7 +242,7 @@
 			Expect(f.ids()).To(BeEmpty())
 		})
 
-		It("removes a leaving server at once", func() {
+		It("removes a leaving server at once when it is deleted", func() {
 			f := newFixture()
 			f.store.append(TopicServers, "a", "1.1.1.1:1 leaving")
 			Expect(f.read()).To(Succeed())
--- a/internal/replica/replica_test.go
+++ b/internal/replica/replica_test.go
@@ -144,7 +144,7 @@
 		Expect(r.Position()).To(Equal(storelog.Position(3)))
 	})
 
-	It("switches sources when one is down or stale, and returns", func() {
+	It("switches sources when one is down or stale, and returns to an earlier one", func() {
 		first := &fakeSource{name: "first", from: upTo(4)}
 		second := &fakeSource{name: "second", from: upTo(9)}
 		first.age.Store((defaultPollTimeout + staleMargin).Milliseconds() + 1)
@@ -180,7 +180,7 @@
 		Expect(installed.EntriesAfter(3).Gone).To(BeFalse())
 	})
 
-	It("adds up the age of the log along the sources", func() {
+	It("adds the time since its last read to the source's log age, and ignores older confirmations", func() {
 		now := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 		r := New(func() time.Time { return now })
 		Expect(r.LogAge()).To(Equal(neverConfirmed))
