--- a/standins/bench/routing.go
+++ b/standins/bench/routing.go
@@ -179,6 +179,7 @@
 	s.latencies = append(s.latencies, end.Sub(s.now).Seconds()*1000)
 }
 
+// hit reports whether the prefix is cached, and marks it as the most recently used.
 func (c *simServer) hit(prefix uint64) bool {
 	for i, p := range c.cache {
 		if p == prefix {
--- a/standins/limitsim/limitsim.go
+++ b/standins/limitsim/limitsim.go
@@ -1,5 +1,5 @@
 // Package limitsim simulates daemons that enforce the rate limits of servers together, in
-// virtual time: the real ratelimit tables, servers that state limits, and a network that
+// virtual time: the real ratelimit tables, servers that announce limits, and a network that
 // delays, loses and partitions messages. A run is determined by its seed.
 package limitsim
 
@@ -60,7 +60,7 @@
 	Random  *rand.Rand
 	Now     time.Time
 	Daemons []*Daemon
-	// Limit is the limit that all servers state; LimitChangedAt is the time of its last change.
+	// Limit is the limit that all servers announce; LimitChangedAt is the time of its last change.
 	Limit          ratelimit.Limit
 	LimitChangedAt time.Time
 	// Loss is the fraction of messages that is lost; MaxDelay bounds the delay of the others.
@@ -81,7 +81,7 @@
 	nextID  uint64
 }
 
-// New returns a simulation with a number of daemons and of servers that state a limit in
+// New returns a simulation with a number of daemons and of servers that announce a limit in
 // requests per second.
 func New(seed uint64, daemons, servers int, limit float64) *Sim {
 	s := &Sim{
@@ -191,7 +191,7 @@
 	}
 }
 
-// sendRequest sends one request to a server with a free token, whose response states its
+// sendRequest sends one request to a server with a free token, whose response announces its
 // limit.
 func (s *Sim) sendRequest(d *Daemon) {
 	request := ratelimit.TokenRequest{Customer: s.DrawCustomer(s.Random)}
--- a/standins/limitsim/limitsim_test.go
+++ b/standins/limitsim/limitsim_test.go
@@ -91,7 +91,7 @@
 	}
 }
 
-// The window starts with the response in which the server states its new limit.
+// The window starts with the response in which the server announces its new limit.
 func TestLimitChangeTakesEffectWithinOneWindow(t *testing.T) {
 	for _, c := range []struct {
 		name                     string
@@ -126,7 +126,7 @@
 	s := New(5, 3, 1, 0)
 	s.Run(5 * time.Minute)
 	n, _ := s.CountSince(time.Time{})
-	g.Expect(n).To(BeNumerically("~", 10, 3), "one per 30 s, so that the server can state a higher limit")
+	g.Expect(n).To(BeNumerically("~", 10, 3), "one per 30 s, so that the server can announce a higher limit")
 	s.Limit = ratelimit.Limit{}
 	s.Run(40 * time.Second)
 	n, _ = s.CountSince(time.Time{})
--- a/standins/plainserver/plainserver.go
+++ b/standins/plainserver/plainserver.go
@@ -1,5 +1,5 @@
 // Package plainserver is a test double of a backend server of protocol "plain", whose calls
-// must not be repeated. Markers in a call's body make it crash, rest or state a limit.
+// must not be repeated. Markers in a call's body make it crash, rest or announce a limit.
 package plainserver
 
 import (
@@ -27,8 +27,8 @@
 }
 
 // Markers in a call's body. CrashMarker crashes the server. RestMarker makes it refuse the
-// call and ask for no other for RestTime. LimitMarker makes it state a limit of LimitRate calls
-// per second for LimitTime.
+// call and ask for no other for RestTime. LimitMarker makes it announce a limit of
+// LimitRate calls per second for LimitTime.
 const (
 	CrashMarker = "ends-its-server"
 	RestMarker  = "makes-its-server-rest"
@@ -44,7 +44,7 @@
 const ViolationPrefix = "against-word"
 
 // inFlightGrace is the time for which calls may arrive that were sent before the server
-// asked for a rest or stated a limit.
+// asked for rest or announced a limit.
 const inFlightGrace = 200 * time.Millisecond
 
 // restState is the state of a requested rest.
@@ -71,7 +71,7 @@
 	return r.startedAt
 }
 
-// limitState is the state of a stated limit.
+// limitState is the state of an announced limit.
 type limitState struct {
 	mu        sync.Mutex
 	startedAt time.Time
--- a/standins/platformdaemon/platformdaemon_test.go
+++ b/standins/platformdaemon/platformdaemon_test.go
@@ -1,5 +1,5 @@
-// Package platformdaemon_test runs the platform daemons in process against stand-ins of the
-// store, of backend servers and of a lock-step engine group.
+// Package platformdaemon_test runs the platform daemons in process against test doubles of the
+// store, of backend servers and of a group of engines that run in lock-step.
 package platformdaemon_test
 
 import (
--- a/standins/scenarios/scenarios_test.go
+++ b/standins/scenarios/scenarios_test.go
@@ -278,7 +278,7 @@
 	ts.Check(process(ts, args).Signal(syscall.SIGCONT))
 }
 
-// cmdLog sets the faults of the log:
+// cmdLog sets the faults of the store, which holds the log:
 // log ok|down|lose-responses|slow|max-records=N
 func cmdLog(ts *testscript.TestScript, _ bool, args []string) {
 	bodies := map[string]string{
