--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -61,7 +61,7 @@
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		operator, ok := daemon.FindOperator(a.operators, r)
 		if !ok {
-			_ = twirp.WriteError(w, twirp.NewError(twirp.Unauthenticated, "unknown operator token"))
+			_ = twirp.WriteError(w, twirp.NewError(twirp.Unauthenticated, "operator token: unknown: set --token or CROWBRIDGE_TOKEN to a configured operator's token"))
 			return
 		}
 		server.ServeHTTP(w, r.WithContext(context.WithValue(r.Context(), operatorKey{}, operator)))
@@ -95,7 +95,7 @@
 func (a *Admin) Apply(ctx context.Context, request *rpc.ApplyRequest) (*rpc.ApplyReply, error) {
 	operator := operatorFromContext(ctx)
 	if operator.Role != daemon.RoleChange {
-		return nil, twirp.NewError(twirp.PermissionDenied, "role "+string(operator.Role)+" may not change the configuration")
+		return nil, twirp.NewError(twirp.PermissionDenied, "role "+string(operator.Role)+" may not change the configuration: use the token of an operator with role change")
 	}
 	bundle, err := decodeBundle(request, operator.Name)
 	if err != nil {
--- a/internal/daemon/auth.go
+++ b/internal/daemon/auth.go
@@ -38,7 +38,7 @@
 func ParseOperator(value string) (Operator, error) {
 	fields := strings.Split(value, ":")
 	if len(fields) != operatorFields {
-		return Operator{}, errors.New("operator: use name:role:sha256-of-token-in-hex")
+		return Operator{}, errors.New("use name:role:sha256-of-token-in-hex")
 	}
 	operator := Operator{Name: fields[0], Role: Role(fields[1]), TokenHash: fields[2]}
 	if operator.Role != RoleRead && operator.Role != RoleChange {
--- a/internal/dispatch/fairness_test.go
+++ b/internal/dispatch/fairness_test.go
@@ -148,7 +148,7 @@
 		Expect(c.servedFraction("flood")).To(BeNumerically(">=", 0.15), "remaining capacity")
 	})
 
-	It("gives one of two customers about a third, whatever load the other sends", func() {
+	It("gives the smaller of two customers at least 30% of the served requests, whatever load the other sends", func() {
 		for _, perSecond := range []int{60, 200} {
 			c := newAdmissionSim(40, 2*time.Second)
 			c.addRequests("large", perSecond, seconds)
