--- a/internal/config/state_property_test.go
+++ b/internal/config/state_property_test.go
@@ -187,9 +187,8 @@
 	}
 }
 
-// TestReplicasAgreeOnStateAtSamePosition checks that replicas have the same state at the same
-// position, however they got there, that results don't change, and that each command takes effect
-// once.
+// TestReplicasAgreeOnStateAtSamePosition guards against replicas that differ at the same position,
+// results that change and commands that take effect twice.
 func TestReplicasAgreeOnStateAtSamePosition(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := &stateMachine{log: &fakeLog{}, hashes: map[storelog.Position]string{}, accepted: map[string]bool{}, savedPosition: storelog.Unknown}
--- a/internal/dispatch/rest_test.go
+++ b/internal/dispatch/rest_test.go
@@ -25,9 +25,8 @@
 // reported that they are leaving.
 
 const (
-	// Of restRanks ranks, restRefusing refuse requests from refusingFrom to refusingTo, asking
-	// for restDuration each time. A request arrives every restInterval, so that each rank would
-	// receive one per 0.3 s.
+	// Of restRanks ranks, restRefusing refuse requests from refusingFrom to refusingTo, each time
+	// asking for a rest of restDuration. A request arrives every restInterval.
 	restRanks    = 16
 	restRefusing = 5
 	refusingFrom = time.Second
--- a/internal/experts/model_test.go
+++ b/internal/experts/model_test.go
@@ -12,10 +12,8 @@
 	"time"
 )
 
-// The model has three ranks with engines and up to two holders of the lease, the
-// second of which may take over at any time. Commands may be delayed, repeated or get
-// no response; reports may be stale. The holders are real MapSwitches, the rest is
-// modeled.
+// The model has three ranks with simulated engines and up to two lease holders, real MapSwitches.
+// Commands may be delayed, repeated or get no response; reports may be stale.
 
 const (
 	modelRanks  = 3
--- a/internal/outcome/keys_property_test.go
+++ b/internal/outcome/keys_property_test.go
@@ -158,9 +158,8 @@
 	}
 }
 
-// A timed key must start at most once over restarts that lose the table, clock errors, retries
-// and pauses. For untimed keys this holds within the window only, so the model drops them
-// afterwards.
+// No timed key may start twice, and no untimed key twice within the window, over restarts that lose
+// the table, clock errors, retries and pauses.
 func TestKeyStartsAtMostOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := &agentModel{trueTime: time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC), started: map[string]int{}}
--- a/standins/platformdaemon/compaction_test.go
+++ b/standins/platformdaemon/compaction_test.go
@@ -11,9 +11,8 @@
 	. "github.com/onsi/gomega"
 )
 
-// propagationTimeout bounds how late a configuration may reach an entry. It is well below the
-// wait time of a long poll, so the test fails if an entry relies on a poll that misses the
-// configuration.
+// propagationTimeout is well below the wait time of a long poll, so the test fails if an entry
+// relies on a poll that misses the configuration.
 const propagationTimeout = 14 * time.Second
 
 // A long poll that misses a configuration written after a compaction must not keep entries from it:
--- a/standins/platformdaemon/crashingrequest_test.go
+++ b/standins/platformdaemon/crashingrequest_test.go
@@ -233,9 +233,8 @@
 	healthyTries   = 12
 )
 
-// startHealthyCallers starts callers that send healthy requests with different bodies. The returned
-// function stops them and returns the number of served requests and the last response to each of
-// the others.
+// startHealthyCallers starts callers that send healthy requests. stop ends them and returns the
+// number of served requests and the last response to each of the others.
 func (d *deployment) startHealthyCallers() (stop func() (served int, lost []string)) {
 	var wg sync.WaitGroup
 	var mu sync.Mutex
--- a/standins/platformdaemon/randomservers_test.go
+++ b/standins/platformdaemon/randomservers_test.go
@@ -209,9 +209,8 @@
 	}
 }
 
-// Servers rest, leave, restart and announce limits at random. No request may reach a server that
-// excluded it. A request runs once if it is served, and never if it is refused; a stream may run at
-// several ranks and fail, but is never incomplete without an error.
+// No request may reach a server that excluded it. Except for streams, none may run twice or fail
+// after it ran; no stream may end incomplete without an error.
 func TestRandomRestsLeavesAndLimitsAreRespected(t *testing.T) {
 	for seed, ranks := range []bool{false, false, true, true} {
 		t.Run(fmt.Sprintf("seed %d, ranks of a group: %t", seed, ranks), func(t *testing.T) { testRandomServers(t, uint64(seed), ranks) })
--- a/standins/scenarios/group_commands_test.go
+++ b/standins/scenarios/group_commands_test.go
@@ -7,8 +7,7 @@
 	"github.com/rogpeppe/go-internal/testscript"
 )
 
-// cmdPasses waits until the group has made N more passes and used the given number of new maps. It
-// checks that all ranks used the same map in each pass:
+// cmdPasses waits for N more passes and the given number of new maps; no pass may use two maps:
 // passes N [maps=N]
 func cmdPasses(ts *testscript.TestScript, _ bool, args []string) {
 	cluster := deploymentOf(ts).cluster
@@ -36,8 +35,7 @@
 	}
 }
 
-// cmdHolder crashes or pauses the agent that holds the group's lease, or resumes or starts the one
-// that it paused or crashed last:
+// cmdHolder crashes or pauses the lease holder, or resumes or starts the one it did this to last:
 // holder crash|pause|resume|start
 func cmdHolder(ts *testscript.TestScript, _ bool, args []string) {
 	r := deploymentOf(ts)
@@ -68,8 +66,7 @@
 	ts.Check(deploymentOf(ts).cluster.InjectGroupFault("down/" + args[0] + "/" + strconv.FormatBool(args[1] == "down")))
 }
 
-// cmdDelayCommands makes each N-th command to the group's engines get no response and be executed
-// MS milliseconds later; 0 0 ends that:
+// cmdDelayCommands runs each N-th engine command MS ms late, without a response; 0 0 ends this:
 // delay-commands N MS
 func cmdDelayCommands(ts *testscript.TestScript, _ bool, args []string) {
 	ts.Check(deploymentOf(ts).cluster.InjectGroupFault("late/" + args[0] + "/" + args[1]))
--- a/standins/scenarios/operator_commands_test.go
+++ b/standins/scenarios/operator_commands_test.go
@@ -62,8 +62,7 @@
 
 const eventuallyTimeout = 15 * time.Second
 
-// cmdEventually repeats an operator's command until its output contains the text, or with ! until
-// it doesn't:
+// cmdEventually repeats an operator's command until its output contains TEXT or, with !, doesn't:
 // [!] eventually TEXT [@ENTRY] ARGS...
 func cmdEventually(ts *testscript.TestScript, neg bool, args []string) {
 	deadline := time.Now().Add(eventuallyTimeout)
--- a/standins/scenarios/scenarios_test.go
+++ b/standins/scenarios/scenarios_test.go
@@ -135,8 +135,7 @@
 	return with, without
 }
 
-// cmdRequest sends a request and writes status, headers and body of the response to $WORK/out. A body
-// of @N is N bytes long:
+// cmdRequest sends a request and writes the response to $WORK/out. A BODY of @N is N bytes long:
 // request ENTRY|ENTRY/metrics METHOD PATH BODY [HEADER:VALUE...]
 func cmdRequest(ts *testscript.TestScript, _ bool, args []string) {
 	cluster := deploymentOf(ts).cluster
@@ -215,8 +214,7 @@
 	}(r.options, r.loads)
 }
 
-// cmdCheck waits for the end of the load. It checks that every outcome is valid, that some requests
-// were answered, and that each named count is at most the given number:
+// cmdCheck waits for the load's end. It fails on invalid outcomes, no answers or a count above N:
 // check [unknown=N] [not-run=N] [silent=N]
 func cmdCheck(ts *testscript.TestScript, _ bool, args []string) {
 	r, v := deploymentOf(ts), parseValues(ts, args)
