--- a/internal/membership/membership_suite_test.go
+++ b/internal/membership/membership_suite_test.go
@@ -123,6 +123,10 @@
 }
 
 func (f *fixture) read() error {
+	select {
+	case <-f.follower.restartRead: // signalled by an earlier read that reached the store
+	default:
+	}
 	config := f.follower.readConfig(context.Background())
 	servers := f.follower.readServers(context.Background())
 	f.follower.recordStoreResult(servers)
